--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -81,6 +81,8 @@
 	// copies is where a replica hands out its copy of what the store last said.
 	copies  string
 	command *exec.Cmd
+	// lives is how often the process was started.
+	lives int
 	// log is the output of all its lives, logFrom where that of the present one begins.
 	log     *lockedBuffer
 	logFrom int
@@ -217,7 +219,8 @@
 
 func (f *fleet) start(m *member) {
 	f.t.Helper()
-	m.command = exec.Command(filepath.Join(f.folder, "swiftbank"), m.verb, "--settings", m.settings)
+	m.command = exec.Command(f.programOf(m), m.verb, "--settings", m.settings)
+	m.lives++
 	if m.log == nil {
 		m.log = &lockedBuffer{}
 	}
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -125,6 +125,7 @@
 	s.checkLimits(t, s.runsByID())
 	s.checkKeptTurns(t)
 	s.checkConfiguration(t)
+	s.checkReports(t)
 	t.Logf("%d requests, %d turns kept", len(s.records), len(s.kept))
 }
 
