--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -19,18 +19,18 @@
 	relistedSingly = 16
 )
 
-// Change applies changes of the list of instances. It returns the ids of instances that are
+// ApplyChanges applies changes of the list of instances. It returns the ids of instances that are
 // gone, and of those that started again: nothing that was believed of them holds. Its work
 // follows the changes, not the instances there are.
 //
 // Entries lapse when instances cannot renew them, so a list read from a source that was lost
 // moments ago may be incomplete: what it lacks, and did not say that it leaves, serves on for
 // unlistedLife.
-func (d *Directory) Change(now time.Time, changes Changes, incomplete bool) (ended []string) {
+func (d *Directory) ApplyChanges(now time.Time, changes Changes, incomplete bool) (ended []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lacking := changes.Gone
-	if changes.All {
+	lacking := changes.Removed
+	if changes.Snapshot {
 		lacking = d.notIn(changes.Listed)
 	}
 	var moved []*member
--- a/internal/backend/changes_test.go
+++ b/internal/backend/changes_test.go
@@ -17,7 +17,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	d := NewDirectory("a")
 	listed := map[string]Instance{}
-	d.Change(start, Changes{All: true}, false)
+	d.ApplyChanges(start, Changes{Snapshot: true}, false)
 	for step := range steps {
 		now := start.Add(time.Duration(step) * 10 * time.Millisecond)
 		var changes Changes
@@ -27,11 +27,11 @@
 		}
 		for range 1 + random.IntN(most) {
 			id := fmt.Sprintf("e%02d", random.IntN(instances))
-			if slices.ContainsFunc(changes.Listed, func(i Instance) bool { return i.ID == id }) || slices.Contains(changes.Gone, id) {
+			if slices.ContainsFunc(changes.Listed, func(i Instance) bool { return i.ID == id }) || slices.Contains(changes.Removed, id) {
 				continue
 			}
 			if random.IntN(3) == 0 {
-				changes.Gone = append(changes.Gone, id)
+				changes.Removed = append(changes.Removed, id)
 				delete(listed, id)
 				continue
 			}
@@ -42,7 +42,7 @@
 			changes.Listed = append(changes.Listed, instance)
 			listed[id] = instance
 		}
-		d.Change(now, changes, false)
+		d.ApplyChanges(now, changes, false)
 		whole := NewDirectory("a")
 		whole.Update(now, slices.Collect(maps.Values(listed)), false)
 		require.Equal(t, entriesOf(whole.byService), entriesOf(d.byService), step)
@@ -71,9 +71,9 @@
 		d.Update(start, all, false)
 		return testing.AllocsPerRun(10, func() {
 			all[7].Leaving = !all[7].Leaving
-			d.Change(start, Changes{Listed: all[7:8]}, false)
-			d.Change(start, Changes{Gone: []string{all[8].ID}}, false)
-			d.Change(start, Changes{Listed: all[8:9]}, false)
+			d.ApplyChanges(start, Changes{Listed: all[7:8]}, false)
+			d.ApplyChanges(start, Changes{Removed: []string{all[8].ID}}, false)
+			d.ApplyChanges(start, Changes{Listed: all[8:9]}, false)
 		})
 	}
 	require.InDelta(t, allocations(100), allocations(10_000), 10)
@@ -95,8 +95,8 @@
 }
 
 func TestAnInstanceThatStartsAgainHoldsNothingOfBefore(t *testing.T) {
-	prompt := []Part{{ID: "p", Tokens: 4000}}
-	demand := Demand{Service: "llm", Generates: true, Parts: prompt}
+	prompt := []PromptPart{{ID: "p", Tokens: 4000}}
+	demand := Demand{Service: "llm", Generates: true, PromptParts: prompt}
 	before := Instance{ID: "e", Service: "llm", Zone: "z", Slots: 4, Address: "10.0.0.1:1", Born: 100}
 	for name, test := range map[string]struct {
 		change func(*Instance)
@@ -112,10 +112,10 @@
 			d.Update(start, []Instance{before}, false)
 			running, found := d.Pick(start, demand)
 			require.True(t, found)
-			d.RemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e": 3})
+			d.SetRemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e": 3})
 			after := before
 			test.change(&after)
-			ended := d.Change(start, Changes{Listed: []Instance{after}}, false)
+			ended := d.ApplyChanges(start, Changes{Listed: []Instance{after}}, false)
 			known := d.members["e"]
 			if !test.reborn {
 				require.Empty(t, ended)
@@ -129,9 +129,9 @@
 			d.End(start, running, Unreachable)
 			require.Zero(t, known.load(start), "the end of a request of the earlier life")
 			require.True(t, known.avoidUntil.IsZero())
-			d.RemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e": 1})
+			d.SetRemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e": 1})
 			require.Equal(t, 1, known.load(start))
-			d.Change(start, Changes{Listed: []Instance{before}}, false)
+			d.ApplyChanges(start, Changes{Listed: []Instance{before}}, false)
 			require.Equal(t, after.Born != 0, d.members["e"] == known, "an entry of the earlier life that comes late")
 		})
 	}
@@ -143,11 +143,11 @@
 	d.Update(start, []Instance{{ID: "e", Service: "llm", Zone: "z", Slots: 4, Born: 101}}, false)
 	missing := func(born uint64) int {
 		choice, found := d.Pick(start, Demand{
-			Service: "llm", Generates: true, Preferred: "e", Parts: []Part{{ID: fmt.Sprint("p", born), Tokens: 4000}, {ID: fmt.Sprint("q", born), Tokens: 10}},
-			Cached: []Cached{{Instance: "e", Born: born, Part: 1, Tokens: 10}},
+			Service: "llm", Generates: true, Preferred: "e", PromptParts: []PromptPart{{ID: fmt.Sprint("p", born), Tokens: 4000}, {ID: fmt.Sprint("q", born), Tokens: 10}},
+			CachedPrompts: []CachedPrompt{{Instance: "e", Born: born, PartIndex: 1, Tokens: 10}},
 		})
 		require.True(t, found)
-		return choice.Missing
+		return choice.UncachedTokens
 	}
 	require.Zero(t, missing(101))
 	require.Zero(t, missing(0), "reported by a gateway that does not know of lives")
@@ -162,7 +162,7 @@
 		d.Update(start, engines(count), false)
 		busy := func(at time.Duration) int { return d.Capacity(start.Add(at), "llm").Busy }
 		require.Zero(t, busy(0))
-		d.RemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e01": 3})
+		d.SetRemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e01": 3})
 		require.Equal(t, seen, busy(capacityLife-1), count)
 		choice, _ := d.Pick(start, Demand{Service: "llm"})
 		require.Equal(t, seen+1, busy(capacityLife-1), count)
@@ -181,7 +181,7 @@
 	d.Update(start, all, false)
 	for b.Loop() {
 		all[7].Leaving = !all[7].Leaving
-		d.Change(start, Changes{Listed: all[7:8]}, false)
+		d.ApplyChanges(start, Changes{Listed: all[7:8]}, false)
 	}
 }
 
--- a/internal/backend/cold.go
+++ b/internal/backend/cold.go
@@ -32,11 +32,11 @@
 // LimitColdStarts makes the directory keep what cold instances withstand as one of the
 // fleet's gateways. It must be called before the first Update.
 func (d *Directory) LimitColdStarts(gateway string, policy coldstart.Policy, observer ColdObserver) {
-	d.cold, d.coldObserver = coldstart.NewGate(gateway, policy), observer
+	d.cold, d.coldObserver = coldstart.NewLimiter(gateway, policy), observer
 }
 
 // SetColdServices replaces what the configuration says of cold instances, by service.
-func (d *Directory) SetColdServices(now time.Time, services map[string]coldstart.Service) {
+func (d *Directory) SetColdServices(now time.Time, services map[string]coldstart.ServiceConfig) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cold.SetServices(services)
@@ -60,7 +60,7 @@
 			ID: instance.ID, Service: instance.Service, Zone: instance.Zone, ColdFor: instance.ColdFor, Born: instance.Born,
 		})
 	}
-	d.cold.Change(now, entries, lacking)
+	d.cold.ApplyChanges(now, entries, lacking)
 	d.reportCold(now)
 }
 
@@ -96,7 +96,7 @@
 func (d *Directory) MaySend(now time.Time, choice Choice) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.cold.Send(now, choice.permit) {
+	if !d.cold.BeginSend(now, choice.permit) {
 		return false
 	}
 	if d.coldObserver != nil && d.cold.Cold(now, choice.Instance.ID) {
@@ -105,11 +105,11 @@
 	return true
 }
 
-// Arrived notes that the answer to a request begins.
-func (d *Directory) Arrived(now time.Time, choice Choice) {
+// ResponseStarted notes that the answer to a request begins.
+func (d *Directory) ResponseStarted(now time.Time, choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cold.Answered(now, choice.permit)
+	d.cold.ResponseStarted(now, choice.permit)
 }
 
 // Misdirected notes that a request went to another instance, which has the address now and
@@ -117,20 +117,20 @@
 func (d *Directory) Misdirected(choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cold.NotCounted(choice.permit)
+	d.cold.Release(choice.permit)
 }
 
-// GivenUp notes that no answer to a request is awaited any more, or that it was never sent.
-func (d *Directory) GivenUp(now time.Time, choice Choice) {
+// Abandon notes that no answer to a request is awaited any more, or that it was never sent.
+func (d *Directory) Abandon(now time.Time, choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cold.Unanswered(now, choice.permit)
+	d.cold.Abandon(now, choice.permit)
 }
 
-// OnlyCold reports whether a service has instances that may get new work, and all of them
+// AllCold reports whether a service has instances that may get new work, and all of them
 // are cold. If so, wait is when one of them has a place for this gateway, and shared is false
 // if none ever has.
-func (d *Directory) OnlyCold(now time.Time, service string) (wait time.Duration, shared, only bool) {
+func (d *Directory) AllCold(now time.Time, service string) (wait time.Duration, shared, only bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	serving := 0
@@ -143,7 +143,7 @@
 		}
 		serving++
 	}
-	wait, shared = d.cold.NextPlace(now, service)
+	wait, shared = d.cold.NextFreePlace(now, service)
 	return wait, shared, serving > 0
 }
 
--- a/internal/backend/cold_test.go
+++ b/internal/backend/cold_test.go
@@ -20,7 +20,7 @@
 func coldDirectory(cold, places int) *Directory {
 	d := NewDirectory("z")
 	d.LimitColdStarts("g", coldstart.Policy{Overage: 1}, nil)
-	d.SetColdServices(start, map[string]coldstart.Service{"llm": {Limit: coldstart.Limit{PerSecond: float64(places)}, Start: time.Second}})
+	d.SetColdServices(start, map[string]coldstart.ServiceConfig{"llm": {Limit: coldstart.Limit{PerSecond: float64(places)}, ColdPeriod: time.Second}})
 	d.SetGateways(start, []coldstart.Gateway{{Name: "g", Zone: "z"}})
 	all := engines(1 + cold)
 	for number := range cold {
@@ -49,11 +49,11 @@
 		again time.Duration
 	}{
 		"misdirected":   {func(d *Directory, _ time.Time, choice Choice) { d.Misdirected(choice) }, 0},
-		"answered":      {func(d *Directory, now time.Time, choice Choice) { d.Arrived(now, choice) }, time.Second},
-		"no connection": {func(d *Directory, now time.Time, choice Choice) { d.GivenUp(now, choice) }, 0},
+		"answered":      {func(d *Directory, now time.Time, choice Choice) { d.ResponseStarted(now, choice) }, time.Second},
+		"no connection": {func(d *Directory, now time.Time, choice Choice) { d.Abandon(now, choice) }, 0},
 	} {
 		d := coldDirectory(1, 1)
-		demand := Demand{Service: "llm", Only: "e01"}
+		demand := Demand{Service: "llm", Pinned: "e01"}
 		choice, found := d.Pick(coldSettled, demand)
 		require.True(t, found)
 		if name != "no connection" {
@@ -73,7 +73,7 @@
 
 func TestASuspendedProcessDoesNotSendByAnOldChoice(t *testing.T) {
 	d := coldDirectory(1, 1)
-	choice, _ := d.Pick(coldSettled, Demand{Service: "llm", Only: "e01"})
+	choice, _ := d.Pick(coldSettled, Demand{Service: "llm", Pinned: "e01"})
 	require.False(t, d.MaySend(coldSettled.Add(5*time.Second), choice))
 
 	s := startScripted(t, func(net.Conn, *bufio.Reader, int) bool { return false })
@@ -89,7 +89,7 @@
 // The most urgent requests and long prompts take a warm instance that has room for them;
 // others share the cold ones.
 func TestWhoGoesToAColdInstance(t *testing.T) {
-	long := []Part{{ID: "long", Tokens: 40_000}}
+	long := []PromptPart{{ID: "long", Tokens: 40_000}}
 	for name, test := range map[string]struct {
 		demand  Demand
 		running int
@@ -98,8 +98,8 @@
 		"urgent, warm has room":     {Demand{Service: "llm", Generates: true}, 1, false},
 		"urgent, warm is full":      {Demand{Service: "llm", Generates: true}, 40, true},
 		"less urgent":               {Demand{Service: "llm", Generates: true, Priority: 9}, 1, true},
-		"less urgent, long prompt":  {Demand{Service: "llm", Generates: true, Priority: 9, Parts: long}, 0, false},
-		"warm is full, long prompt": {Demand{Service: "llm", Generates: true, Priority: 9, Parts: long}, 80, true},
+		"less urgent, long prompt":  {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 0, false},
+		"warm is full, long prompt": {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 80, true},
 	} {
 		d := coldDirectory(1, 100)
 		d.members["e00"].inFlight = test.running
@@ -111,21 +111,21 @@
 
 func TestWhereOnlyColdInstancesServeTheNextPlaceIsKnown(t *testing.T) {
 	d := coldDirectory(1, 1)
-	_, _, only := d.OnlyCold(coldSettled, "llm")
+	_, _, only := d.AllCold(coldSettled, "llm")
 	require.False(t, only)
 	all := engines(2)
 	all[0].Leaving, all[1].ColdFor = true, time.Hour
 	d.Update(coldSettled, all, false)
-	_, shared, only := d.OnlyCold(coldSettled, "llm")
+	_, shared, only := d.AllCold(coldSettled, "llm")
 	require.True(t, shared && only)
 	choice, _ := d.Pick(coldSettled, Demand{Service: "llm"})
 	d.MaySend(coldSettled, choice)
-	d.Arrived(coldSettled.Add(100*time.Millisecond), choice)
-	wait, shared, _ := d.OnlyCold(coldSettled.Add(200*time.Millisecond), "llm")
+	d.ResponseStarted(coldSettled.Add(100*time.Millisecond), choice)
+	wait, shared, _ := d.AllCold(coldSettled.Add(200*time.Millisecond), "llm")
 	require.True(t, shared)
 	require.Equal(t, 900*time.Millisecond, wait)
 	d.SetGateways(coldSettled, []coldstart.Gateway{{Name: "another", Zone: "z"}})
-	_, shared, only = d.OnlyCold(coldSettled, "llm")
+	_, shared, only = d.AllCold(coldSettled, "llm")
 	require.True(t, only && !shared)
 }
 
@@ -133,12 +133,12 @@
 func TestAnEvacuatedZoneComesBackCold(t *testing.T) {
 	d := coldDirectory(0, 1)
 	d.SetEvacuated(coldSettled.Add(-time.Second), []string{"z"})
-	_, _, only := d.OnlyCold(coldSettled, "llm")
+	_, _, only := d.AllCold(coldSettled, "llm")
 	require.False(t, only)
 	d.SetEvacuated(coldSettled, nil)
-	_, _, only = d.OnlyCold(coldSettled, "llm")
+	_, _, only = d.AllCold(coldSettled, "llm")
 	require.True(t, only)
-	_, _, only = d.OnlyCold(coldSettled.Add(time.Second), "llm")
+	_, _, only = d.AllCold(coldSettled.Add(time.Second), "llm")
 	require.False(t, only)
 }
 
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -34,11 +34,11 @@
 
 // Changes are what became of the list of instances.
 type Changes struct {
-	// All says that Listed are all instances there are. Otherwise they are those that are new
+	// Snapshot says that Listed are all instances there are. Otherwise they are those that are new
 	// or whose entries changed, and Gone the ids of those whose entries went.
-	All    bool
-	Listed []Instance
-	Gone   []string
+	Snapshot bool
+	Listed   []Instance
+	Removed  []string
 }
 
 const (
@@ -142,12 +142,12 @@
 	paces map[string]*pace
 	// cold bounds what goes to cold instances; nextColdChange is when the first of them becomes
 	// warm. coldObserver may be nil.
-	cold           *coldstart.Gate
+	cold           *coldstart.Limiter
 	nextColdChange time.Time
 	coldObserver   ColdObserver
 	// speeds is what all gateways observed of the instances, models what this one knows of each
 	// service; for requests that are placed by their expected end.
-	speeds  *instancespeed.Board
+	speeds  *instancespeed.Aggregator
 	models  map[string]*instancespeed.Model
 	spreads map[string]speedSpread
 }
@@ -159,8 +159,8 @@
 		byService: map[string][]*member{}, near: map[string][]*member{}, regional: map[string][]*member{},
 		reports: map[LoadSource]remoteReport{}, ranLast: map[string]string{},
 		inFlight: map[string]int{}, sums: map[string]capacitySum{}, remotes: map[string]remoteSum{}, paces: map[string]*pace{}, network: networkCosts{zone: zone, roundTrips: map[string]*mean{}},
-		cold:   coldstart.NewGate("", coldstart.Policy{}),
-		speeds: instancespeed.NewBoard(), models: map[string]*instancespeed.Model{}, spreads: map[string]speedSpread{},
+		cold:   coldstart.NewLimiter("", coldstart.Policy{}),
+		speeds: instancespeed.NewAggregator(), models: map[string]*instancespeed.Model{}, spreads: map[string]speedSpread{},
 	}
 }
 
@@ -168,7 +168,7 @@
 // called before the first Pick.
 func (d *Directory) UseConnections(pool *Pool) {
 	d.connected, d.idle = pool.isIdle, pool.idleInstances
-	pool.dialed = d.Dialed
+	pool.dialed = d.ObserveDial
 }
 
 // UsePlaces tells the directory which regions the zones belong to. It must be called before
@@ -178,17 +178,17 @@
 	d.severalRegions = len(places.Regions()) > 1
 }
 
-// OtherRegion reports whether a zone is in another region than this gateway.
-func (d *Directory) OtherRegion(zone string) bool {
+// IsOtherRegion reports whether a zone is in another region than this gateway.
+func (d *Directory) IsOtherRegion(zone string) bool {
 	return d.network.places.Distance(d.zone, zone) == place.OtherRegion
 }
 
-// SeedWith makes this gateway's choices among equal instances differ from those of
+// SetSeed makes this gateway's choices among equal instances differ from those of
 // gateways with other names.
-func (d *Directory) SeedWith(node string) { d.seed = xxhash.Sum64String(node) }
+func (d *Directory) SetSeed(node string) { d.seed = xxhash.Sum64String(node) }
 
-// Dialed tells in what time a connection to an instance came up.
-func (d *Directory) Dialed(instance Instance, took time.Duration) {
+// ObserveDial tells in what time a connection to an instance came up.
+func (d *Directory) ObserveDial(instance Instance, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.network.dialed(instance.Zone, took)
@@ -248,9 +248,9 @@
 	return loads
 }
 
-// RemoteLoads replaces a source's requests in flight, in place of what was heard of
+// SetRemoteLoads replaces a source's requests in flight, in place of what was heard of
 // it before. Reports that are too old are dropped.
-func (d *Directory) RemoteLoads(now time.Time, source LoadSource, loads map[string]int) {
+func (d *Directory) SetRemoteLoads(now time.Time, source LoadSource, loads map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before, known := d.reports[source]; known {
@@ -302,8 +302,8 @@
 	}
 }
 
-// UsualFirst returns how long streams of a service usually wait for their first event.
-func (d *Directory) UsualFirst(service string) time.Duration {
+// MeanTimeToFirstEvent returns how long streams of a service usually wait for their first event.
+func (d *Directory) MeanTimeToFirstEvent(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(d.paceOf(service).firstMS() * float64(time.Millisecond))
@@ -319,12 +319,12 @@
 	return known
 }
 
-// Ended is what is learned from the end of an exchange.
-type Ended uint8
+// Outcome is what is learned from the end of an exchange.
+type Outcome uint8
 
 const (
 	// Answered means that the instance spoke the protocol.
-	Answered Ended = iota + 1
+	Answered Outcome = iota + 1
 	// Unreachable means that no connection came up, or it went silent.
 	Unreachable
 	// Full means that the instance had no room.
@@ -336,7 +336,7 @@
 )
 
 // End takes a request off its instance, unless that is gone or has started again since.
-func (d *Directory) End(now time.Time, choice Choice, ended Ended) {
+func (d *Directory) End(now time.Time, choice Choice, ended Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known := d.chosen(choice)
--- a/internal/backend/directory_test.go
+++ b/internal/backend/directory_test.go
@@ -27,7 +27,7 @@
 
 // Update replaces the list of instances.
 func (d *Directory) Update(now time.Time, instances []Instance, incomplete bool) (ended []string) {
-	return d.Change(now, Changes{All: true, Listed: instances}, incomplete)
+	return d.ApplyChanges(now, Changes{Snapshot: true, Listed: instances}, incomplete)
 }
 
 func TestAnIncompleteListTakesNoInstanceAway(t *testing.T) {
@@ -77,18 +77,18 @@
 	d.Update(start, engines(4), false)
 	counts := map[string]int{}
 	for i := range 40 {
-		choice, found := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: []Part{{ID: fmt.Sprint("own", i), Tokens: 500}}})
+		choice, found := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: []PromptPart{{ID: fmt.Sprint("own", i), Tokens: 500}}})
 		require.True(t, found)
 		counts[choice.Instance.ID]++
 	}
 	for id, count := range counts {
 		require.Equal(t, 10, count, id)
 	}
-	session := []Part{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: 4000}}
-	first, _ := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: session})
-	again, _ := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: session})
+	session := []PromptPart{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: 4000}}
+	first, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
+	again, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
 	require.Equal(t, first.Instance.ID, again.Instance.ID, "4,500 tokens to read weigh more than one neighbour")
-	later, _ := d.Pick(start.Add(2*cacheLife), Demand{Service: "llm", Generates: true, Parts: session})
+	later, _ := d.Pick(start.Add(2*cacheLife), Demand{Service: "llm", Generates: true, PromptParts: session})
 	require.NotEqual(t, first.Instance.ID, later.Instance.ID, "what was not used lately is not believed to be there")
 }
 
@@ -126,12 +126,12 @@
 func TestRemoteLoadsReplaceEachOtherAndAge(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(1), false)
-	d.RemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 5, "unknown": 3})
-	d.RemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e00": 2})
-	d.RemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 1})
+	d.SetRemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 5, "unknown": 3})
+	d.SetRemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e00": 2})
+	d.SetRemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 1})
 	choice, _ := d.Pick(start, Demand{Service: "llm"})
 	require.Equal(t, 3, choice.Load)
-	d.RemoteLoads(start.Add(10*remoteLoadLimit), LoadSource{Gateway: "g2"}, map[string]int{"e00": 4})
+	d.SetRemoteLoads(start.Add(10*remoteLoadLimit), LoadSource{Gateway: "g2"}, map[string]int{"e00": 4})
 	choice, _ = d.Pick(start, Demand{Service: "llm"})
 	require.Equal(t, 5, choice.Load, "one own request and four of the gateway that still reports")
 }
@@ -146,18 +146,18 @@
 		seen[choice.Instance.ID] = true
 	}
 	require.Greater(t, len(seen), 300)
-	session := []Part{{ID: "session", Tokens: 9000}}
-	first, _ := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: session})
-	again, _ := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: session})
+	session := []PromptPart{{ID: "session", Tokens: 9000}}
+	first, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
+	again, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
 	require.Equal(t, first.Instance.ID, again.Instance.ID)
 }
 
 func BenchmarkPick1000(b *testing.B) {
 	d := NewDirectory("z")
 	d.Update(start, engines(1000), false)
-	parts := []Part{{ID: "shared", Tokens: 500}, {ID: "a", Tokens: 800}, {ID: "b", Tokens: 700}}
+	parts := []PromptPart{{ID: "shared", Tokens: 500}, {ID: "a", Tokens: 800}, {ID: "b", Tokens: 700}}
 	for b.Loop() {
-		choice, _ := d.Pick(start, Demand{Service: "llm", Generates: true, Parts: parts})
+		choice, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: parts})
 		d.End(start, choice, Answered)
 	}
 }
@@ -220,7 +220,7 @@
 		firsts := map[string]bool{}
 		for gateway := range 20 {
 			d := NewDirectory("z")
-			d.SeedWith(fmt.Sprint("gateway-", gateway))
+			d.SetSeed(fmt.Sprint("gateway-", gateway))
 			d.Update(start, engines(count), false)
 			counts := map[string]int{}
 			const each = 100
@@ -247,7 +247,7 @@
 	d.Update(start, instances, false)
 	d.Pick(start, Demand{Service: "llm"})
 	d.End(start, d.choiceOf("e01"), Unreachable)
-	bound := Demand{Service: "llm", Only: "e01"}
+	bound := Demand{Service: "llm", Pinned: "e01"}
 	for range 20 {
 		choice, found := d.Pick(start, bound)
 		require.True(t, found)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -37,10 +37,10 @@
 	// MaySend is asked once a connection is there, just before the request is sent; the
 	// request is given up if it says no. Nil says yes.
 	MaySend func() bool
-	// Fresh asks for a new connection. A kept one may have fallen silent for good, which shows
+	// NewConnection asks for a new connection. A kept one may have fallen silent for good, which shows
 	// only by the answer that does not come: a request that lost one answer so goes on by a
 	// connection that was just made.
-	Fresh bool
+	NewConnection bool
 }
 
 // Failure is an exchange without a usable answer.
@@ -50,13 +50,13 @@
 	// Unreachable is set when no connection came up, or another instance has the address;
 	// Gone when the instance is known to have ended or to be cut off: connections are refused,
 	// another instance has the address, or its machine was found not to answer.
-	Unreachable bool
-	Gone        bool
+	Unreachable  bool
+	InstanceDown bool
 	// NotSent is set when this gateway gave the send up itself.
 	NotSent bool
-	// Bar is set when a rule about places leaves no instance for the request.
-	Bar    Bar
-	Reason string
+	// Restriction is set when a rule about places leaves no instance for the request.
+	Restriction Restriction
+	Reason      string
 	// RetryAfter is when an instance may take the request; zero if that is not known.
 	RetryAfter time.Duration
 }
@@ -79,9 +79,9 @@
 // Do sends the call and reads the answer's head. The context's end closes the
 // connection, at which an instance stops its work.
 func (p *Pool) Do(ctx context.Context, instance Instance, call Call) (*Answer, *Failure) {
-	connection, err := p.take(ctx, instance, call.Fresh)
+	connection, err := p.take(ctx, instance, call.NewConnection)
 	if err != nil {
-		return nil, &Failure{Verdict: verdict.NotRun, Unreachable: ctx.Err() == nil, Gone: errors.Is(err, syscall.ECONNREFUSED), Reason: "connect: " + err.Error()}
+		return nil, &Failure{Verdict: verdict.NotRun, Unreachable: ctx.Err() == nil, InstanceDown: errors.Is(err, syscall.ECONNREFUSED), Reason: "connect: " + err.Error()}
 	}
 	if call.MaySend != nil && !call.MaySend() {
 		p.putBack(instance, connection)
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -306,7 +306,7 @@
 	pool, opened := newCounted()
 	for number := range 3 {
 		call := callWith(fmt.Sprint(number), "")
-		call.Fresh = number > 0
+		call.NewConnection = number > 0
 		body, failure := do(t, pool, s, call)
 		require.Nil(t, failure)
 		require.Equal(t, "x", body)
--- a/internal/backend/expectedend.go
+++ b/internal/backend/expectedend.go
@@ -19,31 +19,31 @@
 func (d *Directory) expectedEnd(now time.Time, candidate *member, load float64, missing int, demand Demand) float64 {
 	slots := max(1, candidate.instance.Slots)
 	base, growth := d.usualTimes(demand.Service, slots)
-	view := d.speeds.View(now, candidate.key)
+	view := d.speeds.Estimate(now, candidate.key)
 	running := min(load, float64(slots))
 	waiting := max(0, load-float64(slots)+1)
 	reading := float64(missing) * d.paceOf(demand.Service).readingMS()
 	own := base + growth*running + (1+running)*reading
 	queue := waiting * (base + growth*float64(slots)) / float64(slots)
-	lost := 1 - min(mostFailing, view.Failing)
-	return view.Factor()*(own+queue)/lost + view.Refusing*milliseconds(fullPause)
+	lost := 1 - min(mostFailing, view.FailureRate)
+	return view.Slowdown()*(own+queue)/lost + view.RefusalRate*milliseconds(fullPause)
 }
 
 // toldSlowness returns how many times longer than usual a request takes at an instance by what all
 // gateways observed, 1 within what chance explains: an instance that is slow for a moment is avoided
 // by all at once, also where instances are alike. The caller holds the lock.
 func (d *Directory) toldSlowness(now time.Time, candidate *member) float64 {
-	view := d.speeds.View(now, candidate.key)
-	if view.Slower() < slowLeast {
+	view := d.speeds.Estimate(now, candidate.key)
+	if view.LogSlowdown() < slowLeast {
 		return 1
 	}
-	return view.Factor()
+	return view.Slowdown()
 }
 
 // usualTimes returns how long a request takes on an instance of usual speed without others, and by
 // how much longer for each one there, in milliseconds. The caller holds the lock.
 func (d *Directory) usualTimes(service string, slots int) (base, growth float64) {
-	if base, growth, ok := d.modelOf(service).Times(slots); ok {
+	if base, growth, ok := d.modelOf(service).ServiceTime(slots); ok {
 		return base, growth
 	}
 	duration := d.paceOf(service).durationMS()
@@ -76,7 +76,7 @@
 
 // stableSpeed returns how many times as fast as usual an instance works. The caller holds the lock.
 func (d *Directory) stableSpeed(now time.Time, known *member) float64 {
-	return math.Exp(-d.speeds.View(now, known.key).Stable)
+	return math.Exp(-d.speeds.Estimate(now, known.key).Stable)
 }
 
 const (
@@ -109,7 +109,7 @@
 	count := float64(max(1, len(d.byService[service])))
 	for _, listed := range d.byService[service] {
 		weight := float64(max(1, listed.instance.Slots))
-		view := d.speeds.View(now, listed.key)
+		view := d.speeds.Estimate(now, listed.key)
 		speeds, slots = speeds+weight*math.Exp(-view.Stable), slots+weight
 		logs, squares = logs+view.Stable/count, squares+view.Stable*view.Stable/count
 		observed += view.Weight / count
--- a/internal/backend/expectedend_test.go
+++ b/internal/backend/expectedend_test.go
@@ -100,8 +100,8 @@
 		listed = append(listed, backend.Instance{ID: fmt.Sprint(i), Service: "s", Zone: zoneOf(i), Slots: replayedSlots, Born: 1})
 	}
 	directory := backend.NewDirectory(zoneOf(number))
-	directory.SeedWith(fmt.Sprint("g", number))
-	directory.Change(now, backend.Changes{All: true, Listed: listed}, false)
+	directory.SetSeed(fmt.Sprint("g", number))
+	directory.ApplyChanges(now, backend.Changes{Snapshot: true, Listed: listed}, false)
 	return directory
 }
 
@@ -150,8 +150,8 @@
 	const latest = 60 * time.Millisecond
 	for range []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 2}[f.random.IntN(10)] {
 		f.after(time.Duration(f.random.Int64N(int64(latest))), func() {
-			f.gateways[to].RemoteLoads(f.now, backend.LoadSource{Gateway: gateway, Zone: zone}, maps.Clone(loads))
-			f.gateways[to].TakeSpeeds(f.now, tally.Source{Gateway: gateway, Zone: zone}, version, speeds)
+			f.gateways[to].SetRemoteLoads(f.now, backend.LoadSource{Gateway: gateway, Zone: zone}, maps.Clone(loads))
+			f.gateways[to].ApplySpeedReport(f.now, tally.Source{Gateway: gateway, Zone: zone}, version, speeds)
 		})
 	}
 }
@@ -188,21 +188,21 @@
 func byDirectory(byExpectedEnd bool) placer {
 	return func(f *fleet, gateway int) (int, func(), func(first, took time.Duration)) {
 		directory := f.gateways[gateway]
-		choice, _ := directory.Pick(f.now, backend.Demand{Service: "s", Generates: true, ByExpectedEnd: byExpectedEnd, ReportsAge: true})
+		choice, _ := directory.Pick(f.now, backend.Demand{Service: "s", Generates: true, ByExpectedEnd: byExpectedEnd, DiscountOldReports: true})
 		engine, _ := strconv.Atoi(choice.Instance.ID)
 		silent := true
-		if sign := directory.ExpectSign(f.now, choice, true); sign.Within > 0 {
+		if sign := directory.ExpectResponse(f.now, choice, true); sign.OverdueAfter > 0 {
 			for _, times := range []float64{1, 2, 4} {
-				f.after(time.Duration(times)*sign.Within, func() {
+				f.after(time.Duration(times)*sign.OverdueAfter, func() {
 					if silent {
-						directory.Overdue(f.now, choice, sign, times)
+						directory.ObserveOverdue(f.now, choice, sign, times)
 					}
 				})
 			}
 		}
 		return engine, func() { silent = false }, func(first, took time.Duration) {
 			directory.End(f.now, choice, backend.Answered)
-			directory.Observe(f.now, choice, backend.Observation{Kind: "r", Load: choice.Load, First: first, Took: took, Events: 5})
+			directory.Observe(f.now, choice, backend.Observation{Kind: "r", Load: choice.Load, TimeToFirstEvent: first, Duration: took, Events: 5})
 		}
 	}
 }
@@ -290,7 +290,7 @@
 func TestNothingIsToldWhereSpeedsAreNotUsed(t *testing.T) {
 	f := &fleet{now: time.Unix(replayedEpoch, 0)}
 	directory := backend.NewDirectory("z0")
-	directory.Change(f.now, backend.Changes{All: true, Listed: []backend.Instance{{ID: "0", Service: "s", Zone: "z0", Slots: replayedSlots}}}, false)
+	directory.ApplyChanges(f.now, backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "0", Service: "s", Zone: "z0", Slots: replayedSlots}}}, false)
 	f.gateways = append(f.gateways, directory)
 	_, begun, ended := byDirectory(false)(f, 0)
 	begun()
@@ -306,21 +306,21 @@
 func TestAPromptIsNotLeftForWhatOneReportSays(t *testing.T) {
 	now := time.Unix(replayedEpoch, 0)
 	directory := backend.NewDirectory("z0")
-	directory.Change(now, backend.Changes{All: true, Listed: []backend.Instance{
+	directory.ApplyChanges(now, backend.Changes{Snapshot: true, Listed: []backend.Instance{
 		{ID: "held", Service: "s", Zone: "z0", Slots: replayedSlots}, {ID: "other", Service: "s", Zone: "z0", Slots: replayedSlots},
 	}}, false)
-	parts := []backend.Part{{ID: "history", Tokens: 3000}}
+	parts := []backend.PromptPart{{ID: "history", Tokens: 3000}}
 	turn := func() string {
 		choice, _ := directory.Pick(now, backend.Demand{
-			Service: "s", Generates: true, ByExpectedEnd: true, ReportsAge: true, Parts: parts,
-			Cached: []backend.Cached{{Instance: "held", Part: 0, Tokens: 3000}},
+			Service: "s", Generates: true, ByExpectedEnd: true, DiscountOldReports: true, PromptParts: parts,
+			CachedPrompts: []backend.CachedPrompt{{Instance: "held", PartIndex: 0, Tokens: 3000}},
 		})
 		directory.End(now, choice, backend.Answered)
 		return choice.Instance.ID
 	}
 	report := func(held, other int) {
 		now = now.Add(600 * time.Millisecond)
-		directory.RemoteLoads(now, backend.LoadSource{Gateway: "g"}, map[string]int{"held": held, "other": other})
+		directory.SetRemoteLoads(now, backend.LoadSource{Gateway: "g"}, map[string]int{"held": held, "other": other})
 	}
 	for range 20 {
 		report(3, 3)
@@ -328,8 +328,8 @@
 	}
 	report(4, 1)
 	require.Equal(t, "held", turn(), "one report")
-	slow := instancespeed.Figures{Stable: instancespeed.Evidence{Weight: 400, Sum: 600}}
-	directory.TakeSpeeds(now, tally.Source{Gateway: "g"}, tally.Version{Number: 1}, []instancespeed.Entry{{Key: instancespeed.KeyOf("held", "", 0), Figures: slow}})
+	slow := instancespeed.Statistics{Stable: instancespeed.WeightedSum{Weight: 400, Sum: 600}}
+	directory.ApplySpeedReport(now, tally.Source{Gateway: "g"}, tally.Version{Number: 1}, []instancespeed.Entry{{Key: instancespeed.KeyOf("held", "", 0), Statistics: slow}})
 	require.Equal(t, "other", turn(), "the holder is known to be slow")
 }
 
@@ -341,7 +341,7 @@
 	f.run(known)
 	believed := map[string]float64{}
 	for _, speed := range f.gateways[0].Speeds(f.now) {
-		believed[speed.Instance] = speed.Believed.Factor()
+		believed[speed.Instance] = speed.Estimate.Slowdown()
 	}
 	right := 0
 	for engine := range replayedEngines {
@@ -358,10 +358,10 @@
 	directory := newGateway(now, 0)
 	var entries []instancespeed.Entry
 	for engine := range replayedEngines {
-		seen := instancespeed.Evidence{Weight: weight, Sum: weight * slower(engine)}
-		entries = append(entries, instancespeed.Entry{Key: instancespeed.KeyOf(fmt.Sprint(engine), "", 1), Figures: instancespeed.Figures{Stable: seen}})
+		seen := instancespeed.WeightedSum{Weight: weight, Sum: weight * slower(engine)}
+		entries = append(entries, instancespeed.Entry{Key: instancespeed.KeyOf(fmt.Sprint(engine), "", 1), Statistics: instancespeed.Statistics{Stable: seen}})
 	}
-	directory.TakeSpeeds(now, tally.Source{Gateway: "g"}, tally.Version{Number: 1}, entries)
+	directory.ApplySpeedReport(now, tally.Source{Gateway: "g"}, tally.Version{Number: 1}, entries)
 	return directory
 }
 
@@ -369,7 +369,7 @@
 func chosen(directory *backend.Directory, byExpectedEnd bool) []string {
 	var row []string
 	for range replayedEngines {
-		choice, _ := directory.Pick(time.Unix(replayedEpoch, 0), backend.Demand{Service: "s", Generates: true, ReportsAge: true, ByExpectedEnd: byExpectedEnd})
+		choice, _ := directory.Pick(time.Unix(replayedEpoch, 0), backend.Demand{Service: "s", Generates: true, DiscountOldReports: true, ByExpectedEnd: byExpectedEnd})
 		row = append(row, choice.Instance.ID)
 	}
 	return row
--- a/internal/backend/failures.go
+++ b/internal/backend/failures.go
@@ -15,7 +15,7 @@
 // long with each such failure in a row: an instance that fails at once would otherwise seem
 // to be idle and draw more requests than sound ones. Answers that are lost after they were
 // made, or come late, have counted for their time already and add nothing.
-func (d *Directory) EndFailed(now time.Time, choice Choice, ended Ended) {
+func (d *Directory) EndFailed(now time.Time, choice Choice, ended Outcome) {
 	d.End(now, choice, ended)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/backend/failures_test.go
+++ b/internal/backend/failures_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
-		ended Ended
+		ended Outcome
 		load  int
 	}{
 		{"a failure at once", time.Millisecond, Failed, 1},
--- a/internal/backend/learnedspeed.go
+++ b/internal/backend/learnedspeed.go
@@ -33,69 +33,69 @@
 		weight = streamWeight
 	}
 	slower := d.modelOf(known.instance.Service).Observe(now, instancespeed.Sample{
-		Kind: seen.Kind, Unit: time.Duration(unit * float64(time.Millisecond)), Took: seen.Took,
-		Load: seen.Load, Slots: known.instance.Slots, Believed: d.speeds.View(now, known.key),
+		Kind: seen.Kind, UnitTime: time.Duration(unit * float64(time.Millisecond)), Duration: seen.Duration,
+		Load: seen.Load, Slots: known.instance.Slots, Estimate: d.speeds.Estimate(now, known.key),
 	})
 	d.speeds.Observe(now, known.key, slower, weight)
 }
 
 // learnEnd adds a failure or a refusal to what is known of an instance. The caller holds the lock.
-func (d *Directory) learnEnd(now time.Time, known *member, ended Ended) {
+func (d *Directory) learnEnd(now time.Time, known *member, ended Outcome) {
 	switch ended {
 	case Failed, Unreachable:
-		d.speeds.Failed(now, known.key)
+		d.speeds.ObserveFailure(now, known.key)
 	case Full:
-		d.speeds.Refused(now, known.key)
+		d.speeds.ObserveRefusal(now, known.key)
 	}
 }
 
-// Sign is the first sign of life that is expected of a request's instance: its first event, or its
+// ResponseExpectation is the first sign of life that is expected of a request's instance: its first event, or its
 // answer if it is no stream.
-type Sign struct {
-	// Within is how long it may take before that tells that the instance is slow; 0 where
+type ResponseExpectation struct {
+	// OverdueAfter is how long it may take before that tells that the instance is slow; 0 where
 	// instances' speeds are not learned.
-	Within time.Duration
+	OverdueAfter time.Duration
 	// slower is what the expectation rests on, weight how much it tells if it fails.
 	slower, weight float64
 }
 
-// ExpectSign returns the sign of life that is expected of a request that goes out now.
-func (d *Directory) ExpectSign(now time.Time, choice Choice, streams bool) Sign {
+// ExpectResponse returns the sign of life that is expected of a request that goes out now.
+func (d *Directory) ExpectResponse(now time.Time, choice Choice, streams bool) ResponseExpectation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known := d.chosen(choice)
 	if known == nil || !choice.byExpectedEnd {
-		return Sign{}
+		return ResponseExpectation{}
 	}
 	service := known.instance.Service
 	base, growth := d.usualTimes(service, known.instance.Slots)
-	sign := Sign{slower: max(0, d.speeds.View(now, known.key).Slower()), weight: plainWeight}
+	sign := ResponseExpectation{slower: max(0, d.speeds.Estimate(now, known.key).LogSlowdown()), weight: plainWeight}
 	expected := base + growth*float64(choice.Load)
 	if streams {
-		expected = d.paceOf(service).firstMS() + float64(choice.Missing)*d.paceOf(service).readingMS()
+		expected = d.paceOf(service).firstMS() + float64(choice.UncachedTokens)*d.paceOf(service).readingMS()
 		sign.weight = streamWeight
 	}
 	within := max(overdueLeast, overdueFactor*expected*math.Exp(sign.slower))
-	sign.Within = time.Duration(within * float64(time.Millisecond))
+	sign.OverdueAfter = time.Duration(within * float64(time.Millisecond))
 	return sign
 }
 
-// Overdue notes that a request has been without a sign of life for so many times as long as one is
+// ObserveOverdue notes that a request has been without a sign of life for so many times as long as one is
 // expected within: gateways must not wait for its end to learn that the instance is slow at the
 // moment.
-func (d *Directory) Overdue(now time.Time, choice Choice, sign Sign, times float64) {
+func (d *Directory) ObserveOverdue(now time.Time, choice Choice, sign ResponseExpectation, times float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if known := d.chosen(choice); known != nil {
-		d.speeds.Overdue(now, known.key, sign.slower+math.Log(overdueFactor*times), sign.weight)
+		d.speeds.ObserveOverdue(now, known.key, sign.slower+math.Log(overdueFactor*times), sign.weight)
 	}
 }
 
-// SpeedReporters returns how many other sources tell of the instances' speeds.
-func (d *Directory) SpeedReporters() int {
+// SpeedSources returns how many other sources tell of the instances' speeds.
+func (d *Directory) SpeedSources() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.speeds.Reporters()
+	return d.speeds.SourceCount()
 }
 
 // SpeedReport returns what this gateway tells of the instances' speeds, or what its whole zone has
@@ -104,42 +104,42 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if wholeZone {
-		return d.speeds.Zone(now, most)
+		return d.speeds.ZoneEntries(now, most)
 	}
-	return d.speeds.Own(now, most)
+	return d.speeds.LocalEntries(now, most)
 }
 
-// TakeSpeeds applies what others told of the instances' speeds.
-func (d *Directory) TakeSpeeds(now time.Time, source tally.Source, version tally.Version, entries []instancespeed.Entry) {
+// ApplySpeedReport applies what others told of the instances' speeds.
+func (d *Directory) ApplySpeedReport(now time.Time, source tally.Source, version tally.Version, entries []instancespeed.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.speeds.Take(now, source, version, entries)
+	d.speeds.ApplyReport(now, source, version, entries)
 }
 
-// SpeedOf is what is believed of an instance's speed.
-type SpeedOf struct {
+// InstanceSpeed is what is believed of an instance's speed.
+type InstanceSpeed struct {
 	Instance, Service string
-	Believed          instancespeed.View
-	// Reporters is how many other sources the belief may rest on.
-	Reporters int
+	Estimate          instancespeed.Estimate
+	// Sources is how many other sources the belief may rest on.
+	Sources int
 }
 
 // Speeds returns what is believed of all instances that there are observations of, in the order of
 // their services and from fast to slow.
-func (d *Directory) Speeds(now time.Time) []SpeedOf {
+func (d *Directory) Speeds(now time.Time) []InstanceSpeed {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.speeds.Known() == 0 {
+	if d.speeds.InstanceCount() == 0 {
 		return nil
 	}
-	var all []SpeedOf
+	var all []InstanceSpeed
 	for id, known := range d.members {
-		if view := d.speeds.View(now, known.key); view.Weight > 0 {
-			all = append(all, SpeedOf{Instance: id, Service: known.instance.Service, Believed: view, Reporters: d.speeds.Reporters()})
+		if view := d.speeds.Estimate(now, known.key); view.Weight > 0 {
+			all = append(all, InstanceSpeed{Instance: id, Service: known.instance.Service, Estimate: view, Sources: d.speeds.SourceCount()})
 		}
 	}
-	slices.SortFunc(all, func(a, b SpeedOf) int {
-		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Believed.Slower(), b.Believed.Slower()), cmp.Compare(a.Instance, b.Instance))
+	slices.SortFunc(all, func(a, b InstanceSpeed) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Estimate.LogSlowdown(), b.Estimate.LogSlowdown()), cmp.Compare(a.Instance, b.Instance))
 	})
 	return all
 }
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -48,8 +48,8 @@
 	l.mu.Unlock()
 }
 
-// Heard notes that an instance sent something.
-func (p *Pool) Heard(now time.Time, id string) { p.livenessOf(id).heard(now) }
+// RecordActivity notes that an instance sent something.
+func (p *Pool) RecordActivity(now time.Time, id string) { p.livenessOf(id).heard(now) }
 
 func (p *Pool) livenessOf(id string) *liveness {
 	p.mu.Lock()
@@ -62,10 +62,10 @@
 	return known
 }
 
-// Gone reports whether an instance that sent a request nothing for the idle timeout is out
+// IsDown reports whether an instance that sent a request nothing for the idle timeout is out
 // of reach. It asks the instance's machine only if no other request has heard of it
 // either; concurrent callers share one check.
-func (p *Pool) Gone(ctx context.Context, instance Instance, idleTimeout time.Duration) bool {
+func (p *Pool) IsDown(ctx context.Context, instance Instance, idleTimeout time.Duration) bool {
 	known := p.livenessOf(instance.ID)
 	known.mu.Lock()
 	now := time.Now()
--- a/internal/backend/liveness_test.go
+++ b/internal/backend/liveness_test.go
@@ -39,10 +39,10 @@
 	const idleTimeout = time.Minute
 	pool := NewPool(func() {})
 	gone := Instance{ID: "gone", Service: "llm", Address: mute(t)}
-	require.True(t, pool.Gone(context.Background(), gone, idleTimeout))
-	require.True(t, pool.Gone(context.Background(), gone, idleTimeout), "the same for the next request")
-	pool.Heard(time.Now(), "gone")
-	require.False(t, pool.Gone(context.Background(), gone, idleTimeout), "another request has heard of it")
+	require.True(t, pool.IsDown(context.Background(), gone, idleTimeout))
+	require.True(t, pool.IsDown(context.Background(), gone, idleTimeout), "the same for the next request")
+	pool.RecordActivity(time.Now(), "gone")
+	require.False(t, pool.IsDown(context.Background(), gone, idleTimeout), "another request has heard of it")
 }
 
 func TestASilentInstanceWhoseMachineAnswersIsThere(t *testing.T) {
@@ -50,9 +50,9 @@
 	require.NoError(t, err)
 	pool := NewPool(func() {})
 	there := Instance{ID: "there", Service: "llm", Address: listener.Addr().String()}
-	require.False(t, pool.Gone(context.Background(), there, time.Millisecond))
+	require.False(t, pool.IsDown(context.Background(), there, time.Millisecond))
 	require.True(t, pool.isIdle("there"), "the connection serves the next request")
 	require.NoError(t, listener.Close())
 	pool.Forget("there")
-	require.False(t, pool.Gone(context.Background(), there, time.Millisecond), "a refusal is an answer of the machine")
+	require.False(t, pool.IsDown(context.Background(), there, time.Millisecond), "a refusal is an answer of the machine")
 }
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -27,22 +27,22 @@
 	fullPause = 40 * time.Millisecond
 )
 
-// Part is one part of a prompt, which requests may share.
-type Part struct {
+// PromptPart is one part of a prompt, which requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Cached says that an instance holds a prompt up to some tokens of one of its parts.
-type Cached struct {
+// CachedPrompt says that an instance holds a prompt up to some tokens of one of its parts.
+type CachedPrompt struct {
 	Instance string
 	// Born is the start of the instance's life in which it took the prompt; 0 where that is not
 	// known.
 	Born uint64
-	// Part is the index of the part in the prompt, Tokens how many of it are held. All
+	// PartIndex is the index of the part in the prompt, Tokens how many of it are held. All
 	// parts before it are held as well.
-	Part   int
-	Tokens int
+	PartIndex int
+	Tokens    int
 }
 
 // Demand is what a request needs.
@@ -50,16 +50,16 @@
 	Service string
 	// Generates is true for model engines.
 	Generates bool
-	// Parts are the parts of the prompt, in order.
-	Parts []Part
-	// Cached is what instances hold of the prompt as reported by earlier requests, which
+	// PromptParts are the parts of the prompt, in order.
+	PromptParts []PromptPart
+	// CachedPrompts is what instances hold of the prompt as reported by earlier requests, which
 	// other gateways may have served.
-	Cached []Cached
+	CachedPrompts []CachedPrompt
 	// Preferred is the instance that ran the previous turn, or "".
 	Preferred string
-	// Only is the instance that alone may get the request as long as it is listed; "" leaves
+	// Pinned is the instance that alone may get the request as long as it is listed; "" leaves
 	// the choice open. While its zone is evacuated nothing may get the request.
-	Only string
+	Pinned string
 	// Exclude lists instances that were tried.
 	Exclude []string
 	// Homes limits the regions whose instances may get the request.
@@ -69,8 +69,8 @@
 	// ByExpectedEnd places the request where it is expected to end soonest, by the speeds of the
 	// single instances that all gateways learn together.
 	ByExpectedEnd bool
-	// ReportsAge says that what other gateways report of instances counts less the older it is.
-	ReportsAge bool
+	// DiscountOldReports says that what other gateways report of instances counts less the older it is.
+	DiscountOldReports bool
 }
 
 // Choice is where a request goes and why.
@@ -80,12 +80,12 @@
 	// Load is the requests believed to be there, Cost the predicted cost in ms.
 	Load int
 	Cost float64
-	// Expected is the load as far as the reports' age lets it be told, ReportsAge the mean age of
+	// ExpectedLoad is the load as far as the reports' age lets it be told, ReportsAge the mean age of
 	// those reports; both are set where the demand asked for it.
-	Expected   float64
-	ReportsAge time.Duration
-	// Missing is how many prompt tokens it has to read by what is believed here.
-	Missing int
+	ExpectedLoad float64
+	ReportAge    time.Duration
+	// UncachedTokens is how many prompt tokens it has to read by what is believed here.
+	UncachedTokens int
 	// Candidates is how many instances were compared.
 	Candidates int
 	// member is what is believed of the instance, in the life in which it was chosen.
@@ -120,15 +120,15 @@
 		load := candidate.load(now)
 		expected := float64(load)
 		switch {
-		case demand.ReportsAge && demand.ByExpectedEnd:
+		case demand.DiscountOldReports && demand.ByExpectedEnd:
 			expected = d.loadBySpeed(now, candidate)
-		case demand.ReportsAge:
+		case demand.DiscountOldReports:
 			expected = d.expectedLoad(now, candidate)
 		}
 		cost, missing := d.cost(now, candidate, expected, demand)
 		if best == nil || cost < choice.Cost {
 			best = candidate
-			choice.Load, choice.Expected, choice.Cost, choice.Missing = load, expected, cost, missing
+			choice.Load, choice.ExpectedLoad, choice.Cost, choice.UncachedTokens = load, expected, cost, missing
 		}
 	}
 	best.inFlight++
@@ -139,11 +139,11 @@
 	default:
 	}
 	choice.member = best
-	choice.ReportsAge = d.reportsAge(demand)
-	best.cache.add(now, demand.Parts)
-	d.remember(best.instance.ID, demand.Parts)
+	choice.ReportAge = d.reportsAge(demand)
+	best.cache.add(now, demand.PromptParts)
+	d.remember(best.instance.ID, demand.PromptParts)
 	choice.Instance = best.instance
-	choice.permit = d.cold.Take(now, best.instance.ID)
+	choice.permit = d.cold.Acquire(now, best.instance.ID)
 	return choice, true
 }
 
@@ -155,7 +155,7 @@
 func (d *Directory) candidates(now time.Time, demand Demand) []*member {
 	d.samples++
 	picked := sample{now: now, demand: demand, number: d.samples, places: d.network.places, cold: d.cold}
-	if only := d.members[demand.Only]; only != nil {
+	if only := d.members[demand.Pinned]; only != nil {
 		picked.add(only) // while it leaves there is none: it may still be at work on the request
 		return append(picked.sound, picked.suspected...)
 	}
@@ -196,7 +196,7 @@
 	// number marks the instances that were looked at.
 	number           uint64
 	sound, suspected []*member
-	cold             *coldstart.Gate
+	cold             *coldstart.Limiter
 	// withheld is set if a cold instance was left out that has no free place.
 	withheld bool
 }
@@ -251,7 +251,7 @@
 }
 
 // remember notes where the parts of a prompt were used last.
-func (d *Directory) remember(id string, parts []Part) {
+func (d *Directory) remember(id string, parts []PromptPart) {
 	const most = 16384
 	if len(d.ranLast) > most {
 		clear(d.ranLast)
@@ -262,7 +262,7 @@
 }
 
 // lastRun returns the instance that had the newest known part of the prompt.
-func (d *Directory) lastRun(parts []Part) string {
+func (d *Directory) lastRun(parts []PromptPart) string {
 	for _, part := range slices.Backward(parts) {
 		if id, known := d.ranLast[part.ID]; known {
 			return id
@@ -300,9 +300,9 @@
 
 // missing returns the prompt tokens that the instance would have to read.
 func (d *Directory) missing(now time.Time, candidate *member, demand Demand) int {
-	missing := min(candidate.cache.missing(now, demand.Parts), demand.missingAt(candidate.instance))
-	if candidate.instance.ID == demand.Preferred && len(demand.Parts) > 0 && !demand.knowsEarlierLife(candidate.instance) {
-		missing = min(missing, demand.Parts[len(demand.Parts)-1].Tokens)
+	missing := min(candidate.cache.missing(now, demand.PromptParts), demand.missingAt(candidate.instance))
+	if candidate.instance.ID == demand.Preferred && len(demand.PromptParts) > 0 && !demand.knowsEarlierLife(candidate.instance) {
+		missing = min(missing, demand.PromptParts[len(demand.PromptParts)-1].Tokens)
 	}
 	return missing
 }
@@ -311,25 +311,25 @@
 // earlier requests.
 func (d Demand) missingAt(instance Instance) int {
 	total := 0
-	for _, part := range d.Parts {
+	for _, part := range d.PromptParts {
 		total += part.Tokens
 	}
 	missing := total
-	for _, cached := range d.Cached {
+	for _, cached := range d.CachedPrompts {
 		if !cached.isIn(instance) {
 			continue
 		}
 		behind := 0
-		for _, part := range d.Parts[cached.Part+1:] {
+		for _, part := range d.PromptParts[cached.PartIndex+1:] {
 			behind += part.Tokens
 		}
-		missing = min(missing, behind+max(0, d.Parts[cached.Part].Tokens-cached.Tokens))
+		missing = min(missing, behind+max(0, d.PromptParts[cached.PartIndex].Tokens-cached.Tokens))
 	}
 	return missing
 }
 
 // isIn reports whether the prompt is held by the instance in its present life.
-func (c Cached) isIn(instance Instance) bool {
+func (c CachedPrompt) isIn(instance Instance) bool {
 	return c.Instance == instance.ID && (c.Born == 0 || instance.Born == 0 || c.Born == instance.Born)
 }
 
@@ -337,7 +337,7 @@
 // earlier life of it, and none in the present one.
 func (d Demand) knowsEarlierLife(instance Instance) bool {
 	earlier := false
-	for _, cached := range d.Cached {
+	for _, cached := range d.CachedPrompts {
 		if cached.isIn(instance) {
 			return false
 		}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -55,9 +55,9 @@
 	return &Pool{Opened: opened, idle: map[string][]*connection{}, idleLimit: map[string]int{}, alive: map[string]*liveness{}}
 }
 
-// UseFar tells the pool which zones are in another region. It must be called before the first
+// UseOtherRegion tells the pool which zones are in another region. It must be called before the first
 // request.
-func (p *Pool) UseFar(far func(zone string) bool) { p.far = far }
+func (p *Pool) UseOtherRegion(far func(zone string) bool) { p.far = far }
 
 // take returns a kept connection that is still sound, or a new one.
 func (p *Pool) take(ctx context.Context, instance Instance, fresh bool) (*connection, error) {
--- a/internal/backend/promptcache.go
+++ b/internal/backend/promptcache.go
@@ -19,7 +19,7 @@
 
 // missing returns the tokens that the engine would have to read: what is held of a part
 // counts only if all before it is held whole.
-func (c promptCache) missing(now time.Time, parts []Part) int {
+func (c promptCache) missing(now time.Time, parts []PromptPart) int {
 	missing, intact := 0, true
 	for _, part := range parts {
 		held := 0
@@ -33,7 +33,7 @@
 }
 
 // add notes the parts of a request that goes to the engine.
-func (c promptCache) add(now time.Time, parts []Part) {
+func (c promptCache) add(now time.Time, parts []PromptPart) {
 	const sweepSize = 2048
 	for _, part := range parts {
 		c[part.ID] = cachedPart{tokens: part.Tokens, usedAt: now}
--- a/internal/backend/reportedload.go
+++ b/internal/backend/reportedload.go
@@ -58,7 +58,7 @@
 // reportsAge returns how old reported loads are on average, where a placement goes by that. The
 // caller holds the lock.
 func (d *Directory) reportsAge(demand Demand) time.Duration {
-	if !demand.ReportsAge {
+	if !demand.DiscountOldReports {
 		return 0
 	}
 	return time.Duration(d.intervals.age() * float64(time.Millisecond))
--- a/internal/backend/reportedload_test.go
+++ b/internal/backend/reportedload_test.go
@@ -54,7 +54,7 @@
 // replayedProgram is a program with what its earlier turns left at instances.
 type replayedProgram struct {
 	number, turn int
-	cached       []Cached
+	cached       []CachedPrompt
 }
 
 // replayedTurn is a turn under way.
@@ -64,7 +64,7 @@
 	choice  Choice
 	sentAt  time.Time
 	first   time.Duration
-	parts   []Part
+	parts   []PromptPart
 }
 
 // placementReplay plays the load over several gateways and counts what the engines read.
@@ -98,10 +98,10 @@
 		}
 		source := LoadSource{Gateway: fmt.Sprint(from)}
 		if p.random.Float64() >= reportsLost {
-			p.gateways[next].RemoteLoads(now, source, loads)
+			p.gateways[next].SetRemoteLoads(now, source, loads)
 		}
 		if p.random.Float64() < reportsLost {
-			p.gateways[next].RemoteLoads(now, source, loads)
+			p.gateways[next].SetRemoteLoads(now, source, loads)
 		}
 	}
 	p.at(now.Add(reportPause), func(now time.Time) { p.report(now, from, next) })
@@ -110,8 +110,8 @@
 // turn places the next turn of a program at any gateway.
 func (p *placementReplay) turn(now time.Time, program *replayedProgram) {
 	gateway := p.gateways[p.random.IntN(len(p.gateways))]
-	parts := []Part{{ID: "all", Tokens: 512}, {ID: fmt.Sprint("p", program.number), Tokens: firstPrompt + program.turn*(turnPrompt+answerTokens)}}
-	choice, _ := gateway.Pick(now, Demand{Service: "llm", Generates: true, Parts: parts, Cached: program.cached, ReportsAge: p.aged})
+	parts := []PromptPart{{ID: "all", Tokens: 512}, {ID: fmt.Sprint("p", program.number), Tokens: firstPrompt + program.turn*(turnPrompt+answerTokens)}}
+	choice, _ := gateway.Pick(now, Demand{Service: "llm", Generates: true, PromptParts: parts, CachedPrompts: program.cached, DiscountOldReports: p.aged})
 	id := fmt.Sprint(program.number, "-", program.turn)
 	p.turns[id] = &replayedTurn{program: program, gateway: gateway, choice: choice, sentAt: now, parts: parts}
 	engine := p.engines[choice.Instance.ID]
@@ -154,11 +154,11 @@
 	p.took = append(p.took, now.Sub(turn.sentAt))
 	turn.gateway.End(now, turn.choice, Answered)
 	turn.gateway.Observe(now, turn.choice, Observation{
-		Missing: turn.choice.Missing, Load: turn.choice.Load, First: turn.first, Took: now.Sub(turn.sentAt), Events: answerTokens,
+		UncachedTokens: turn.choice.UncachedTokens, Load: turn.choice.Load, TimeToFirstEvent: turn.first, Duration: now.Sub(turn.sentAt), Events: answerTokens,
 	})
 	program := turn.program
 	last := turn.parts[1]
-	program.cached = append(program.cached, Cached{Instance: turn.choice.Instance.ID, Part: 1, Tokens: last.Tokens + answerTokens})
+	program.cached = append(program.cached, CachedPrompt{Instance: turn.choice.Instance.ID, PartIndex: 1, Tokens: last.Tokens + answerTokens})
 	program.turn++
 	if program.turn < programTurns {
 		p.at(now.Add(programPause), func(now time.Time) { p.turn(now, program) })
@@ -192,8 +192,8 @@
 	}
 	for i := range gateways {
 		gateway := NewDirectory("z")
-		gateway.SeedWith(fmt.Sprint("g", i))
-		gateway.Change(start, Changes{All: true, Listed: listed}, false)
+		gateway.SetSeed(fmt.Sprint("g", i))
+		gateway.ApplyChanges(start, Changes{Snapshot: true, Listed: listed}, false)
 		p.gateways = append(p.gateways, gateway)
 		p.at(start.Add(time.Duration(i)*time.Millisecond), func(now time.Time) { p.report(now, i, i) })
 	}
@@ -257,7 +257,7 @@
 			now := start
 			for range 3 {
 				now = now.Add(test.interval)
-				d.RemoteLoads(now, LoadSource{Gateway: "g2"}, map[string]int{"e00": 8})
+				d.SetRemoteLoads(now, LoadSource{Gateway: "g2"}, map[string]int{"e00": 8})
 			}
 			expected := d.expectedLoad(now, d.members["e00"])
 			require.GreaterOrEqual(t, expected, test.least)
--- a/internal/backend/barred.go
+++ b/internal/backend/restriction.go
@@ -7,26 +7,26 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// Bar is why no instance of a service may get a request though some are there. Waiting for
+// Restriction is why no instance of a service may get a request though some are there. Waiting for
 // room changes nothing about it.
-type Bar uint8
+type Restriction uint8
 
 const (
-	// NotBarred means that some instance may get the request, now or once it has room, or
+	// NotRestricted means that some instance may get the request, now or once it has room, or
 	// that none is listed.
-	NotBarred Bar = iota
-	// BarredByHomes means that no instance stands in a region where the request may run.
-	BarredByHomes
-	// BarredByEvacuation means that all that might run it stand in evacuated zones.
-	BarredByEvacuation
+	NotRestricted Restriction = iota
+	// RestrictedByHomes means that no instance stands in a region where the request may run.
+	RestrictedByHomes
+	// RestrictedByEvacuation means that all that might run it stand in evacuated zones.
+	RestrictedByEvacuation
 )
 
 // String returns the reason in the words of the log and of refusals.
-func (b Bar) String() string {
+func (b Restriction) String() string {
 	switch b {
-	case BarredByHomes:
+	case RestrictedByHomes:
 		return "no instance is in a region where the request may run"
-	case BarredByEvacuation:
+	case RestrictedByEvacuation:
 		return "the zones of all instances that may run it are evacuated"
 	default:
 		return "not barred"
@@ -75,22 +75,22 @@
 	return running
 }
 
-// Barred returns why no instance may get the request, if that is a rule about places. It
+// Restriction returns why no instance may get the request, if that is a rule about places. It
 // looks at all instances of the service: callers ask only once Pick has found none.
-func (d *Directory) Barred(now time.Time, demand Demand) Bar {
+func (d *Directory) Restriction(now time.Time, demand Demand) Restriction {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if only := d.members[demand.Only]; only != nil && only.isStaying(now) {
+	if only := d.members[demand.Pinned]; only != nil && only.isStaying(now) {
 		return d.barFor(only, demand)
 	}
-	bar := NotBarred
+	bar := NotRestricted
 	for _, known := range d.byService[demand.Service] {
 		if !known.isStaying(now) {
 			continue
 		}
 		each := d.barFor(known, demand)
-		if each == NotBarred {
-			return NotBarred
+		if each == NotRestricted {
+			return NotRestricted
 		}
 		bar = max(bar, each)
 	}
@@ -99,14 +99,14 @@
 
 // barFor returns why an instance may not get the request, if that is a rule about places. The
 // caller holds the lock.
-func (d *Directory) barFor(known *member, demand Demand) Bar {
+func (d *Directory) barFor(known *member, demand Demand) Restriction {
 	switch {
 	case !demand.isHome(known, d.network.places):
-		return BarredByHomes
+		return RestrictedByHomes
 	case known.evacuated:
-		return BarredByEvacuation
+		return RestrictedByEvacuation
 	default:
-		return NotBarred
+		return NotRestricted
 	}
 }
 
--- a/internal/backend/barred_test.go
+++ b/internal/backend/restriction_test.go
@@ -21,13 +21,13 @@
 // byEveryPath returns demands that reach each source of candidates: the own zone, the
 // instance of the previous turn, reported and remembered prompts, the instance bound to.
 func byEveryPath(instance string) []Demand {
-	parts := []Part{{ID: "p", Tokens: 100}}
+	parts := []PromptPart{{ID: "p", Tokens: 100}}
 	demands := []Demand{
 		{},
 		{Preferred: instance},
-		{Parts: parts, Cached: []Cached{{Instance: instance, Tokens: 100}}},
-		{Parts: parts},
-		{Only: instance},
+		{PromptParts: parts, CachedPrompts: []CachedPrompt{{Instance: instance, Tokens: 100}}},
+		{PromptParts: parts},
+		{Pinned: instance},
 	}
 	for i := range demands {
 		demands[i].Service, demands[i].Generates = "llm", true
@@ -44,7 +44,7 @@
 			d := NewDirectory("a")
 			d.UsePlaces(regions)
 			d.Update(start, inZones(size, "a", "b"), false)
-			d.remember("e00", []Part{{ID: "p", Tokens: 100}})
+			d.remember("e00", []PromptPart{{ID: "p", Tokens: 100}})
 			homes := place.Homes{}
 			if rule == 0 {
 				require.Empty(t, d.SetEvacuated(start, []string{"a"}))
@@ -56,7 +56,7 @@
 				for range 2 * sampleSize {
 					choice, found := d.Pick(start, demand)
 					require.False(t, found && choice.Instance.Zone == "a", "size %d, rule %d, demand %d", size, rule, number)
-					require.True(t, found || demand.Only != "", "size %d, rule %d, demand %d", size, rule, number)
+					require.True(t, found || demand.Pinned != "", "size %d, rule %d, demand %d", size, rule, number)
 				}
 			}
 		}
@@ -72,7 +72,7 @@
 	d.Update(start, inZones(4, "a", "b")[:3], true)
 	_, found := d.Pick(start, Demand{Service: "llm", Exclude: []string{"e01"}})
 	require.False(t, found)
-	require.Equal(t, NotBarred, d.Barred(start, Demand{Service: "llm", Exclude: []string{"e01"}}), "the other one may have room again")
+	require.Equal(t, NotRestricted, d.Restriction(start, Demand{Service: "llm", Exclude: []string{"e01"}}), "the other one may have room again")
 }
 
 func TestAnEndedEvacuationReturnsItsZones(t *testing.T) {
@@ -100,19 +100,19 @@
 		instances []Instance
 		evacuated []string
 		demand    Demand
-		expected  Bar
+		expected  Restriction
 	}{
-		{inZones(2, "a", "b"), []string{"a"}, Demand{}, NotBarred},
-		{inZones(2, "a", "b"), []string{"a", "b"}, Demand{}, BarredByEvacuation},
-		{leaving, []string{"a"}, Demand{}, BarredByEvacuation},
-		{nil, []string{"a", "b"}, Demand{}, NotBarred},
-		{inZones(2, "a", "b"), nil, Demand{Homes: south}, NotBarred},
-		{inZones(2, "a"), nil, Demand{Homes: south}, BarredByHomes},
-		{inZones(2, "unlisted"), nil, Demand{Homes: south}, BarredByHomes},
-		{inZones(2, "a", "b"), nil, Demand{Homes: south.And(north)}, BarredByHomes},
-		{inZones(2, "a", "b"), []string{"b"}, Demand{Homes: south}, BarredByEvacuation},
-		{inZones(2, "a", "b"), []string{"a"}, Demand{Only: "e00"}, BarredByEvacuation},
-		{inZones(2, "a", "b"), []string{"a"}, Demand{Only: "gone"}, NotBarred},
+		{inZones(2, "a", "b"), []string{"a"}, Demand{}, NotRestricted},
+		{inZones(2, "a", "b"), []string{"a", "b"}, Demand{}, RestrictedByEvacuation},
+		{leaving, []string{"a"}, Demand{}, RestrictedByEvacuation},
+		{nil, []string{"a", "b"}, Demand{}, NotRestricted},
+		{inZones(2, "a", "b"), nil, Demand{Homes: south}, NotRestricted},
+		{inZones(2, "a"), nil, Demand{Homes: south}, RestrictedByHomes},
+		{inZones(2, "unlisted"), nil, Demand{Homes: south}, RestrictedByHomes},
+		{inZones(2, "a", "b"), nil, Demand{Homes: south.And(north)}, RestrictedByHomes},
+		{inZones(2, "a", "b"), []string{"b"}, Demand{Homes: south}, RestrictedByEvacuation},
+		{inZones(2, "a", "b"), []string{"a"}, Demand{Pinned: "e00"}, RestrictedByEvacuation},
+		{inZones(2, "a", "b"), []string{"a"}, Demand{Pinned: "gone"}, NotRestricted},
 	}
 	for number, c := range cases {
 		t.Run(fmt.Sprint(number), func(t *testing.T) {
@@ -121,9 +121,9 @@
 			d.Update(start, c.instances, false)
 			d.SetEvacuated(start, c.evacuated)
 			c.demand.Service = "llm"
-			require.Equal(t, c.expected, d.Barred(start, c.demand))
+			require.Equal(t, c.expected, d.Restriction(start, c.demand))
 			_, found := d.Pick(start, c.demand)
-			require.Equal(t, c.expected == NotBarred && len(c.instances) > 0, found)
+			require.Equal(t, c.expected == NotRestricted && len(c.instances) > 0, found)
 		})
 	}
 }
--- a/internal/backend/draw.go
+++ b/internal/backend/sampling.go
@@ -63,7 +63,7 @@
 	ranks := make(map[*member]float64, len(candidates))
 	for _, candidate := range candidates {
 		uniform := (float64(d.nextMixed()>>uniformShift) + 1) / uniformRange
-		ranks[candidate] = -math.Log(uniform) * d.speeds.View(now, candidate.key).Factor() * d.detour(candidate)
+		ranks[candidate] = -math.Log(uniform) * d.speeds.Estimate(now, candidate.key).Slowdown() * d.detour(candidate)
 	}
 	slices.SortFunc(candidates, func(a, b *member) int { return cmp.Compare(ranks[a], ranks[b]) })
 	return candidates[:compared]
@@ -91,8 +91,8 @@
 
 // holders returns the instances that may hold parts of the prompt. The caller holds the lock.
 func (d *Directory) holders(demand Demand) []string {
-	ids := []string{demand.Preferred, d.lastRun(demand.Parts)}
-	for _, cached := range demand.Cached {
+	ids := []string{demand.Preferred, d.lastRun(demand.PromptParts)}
+	for _, cached := range demand.CachedPrompts {
 		ids = append(ids, cached.Instance)
 	}
 	return ids
--- a/internal/backend/pace.go
+++ b/internal/backend/servicespeed.go
@@ -38,11 +38,11 @@
 type Observation struct {
 	// Kind groups requests whose work is alike, such as those of one route.
 	Kind string
-	// Missing is how many prompt tokens the instance was believed to have to read, Load
+	// UncachedTokens is how many prompt tokens the instance was believed to have to read, Load
 	// how many other requests it was believed to have.
-	Missing, Load int
-	// First is the time from the send to the first event, Took to the end of the answer.
-	First, Took time.Duration
+	UncachedTokens, Load int
+	// TimeToFirstEvent is the time from the send to the first event, Duration to the end of the answer.
+	TimeToFirstEvent, Duration time.Duration
 	// Events is how many events came; zero for answers that are no stream.
 	Events int
 }
@@ -79,13 +79,13 @@
 // observe adds a request's figures and returns how much slower than usual it was,
 // as a logarithm; ok is false where that cannot be told.
 func (p *pace) observe(seen Observation, slots int) (slower float64, ok bool) {
-	p.duration.add(milliseconds(seen.Took), paceGain)
+	p.duration.add(milliseconds(seen.Duration), paceGain)
 	if seen.Events > 0 {
-		p.read.add(float64(seen.Missing), paceGain)
-		p.first.add(milliseconds(seen.First), paceGain)
-		p.recentFirst.add(milliseconds(seen.First), recentGain)
+		p.read.add(float64(seen.UncachedTokens), paceGain)
+		p.first.add(milliseconds(seen.TimeToFirstEvent), paceGain)
+		p.recentFirst.add(milliseconds(seen.TimeToFirstEvent), recentGain)
 		if seen.Load*calmShare <= slots {
-			p.reading.add(float64(seen.Missing), milliseconds(seen.First))
+			p.reading.add(float64(seen.UncachedTokens), milliseconds(seen.TimeToFirstEvent))
 		}
 	}
 	unit, ok := seen.unit()
@@ -113,9 +113,9 @@
 	const leastMS = 0.01
 	switch {
 	case o.Events == 0:
-		return max(leastMS, milliseconds(o.Took)), true
+		return max(leastMS, milliseconds(o.Duration)), true
 	case o.Events >= leastEvents:
-		return max(leastMS, milliseconds(o.Took-o.First)/float64(o.Events-1)), true
+		return max(leastMS, milliseconds(o.Duration-o.TimeToFirstEvent)/float64(o.Events-1)), true
 	default:
 		return 0, false
 	}
--- a/internal/backend/pace_test.go
+++ b/internal/backend/servicespeed_test.go
@@ -15,7 +15,7 @@
 		missing := random.IntN(12000)
 		noise := 1 + 0.2*random.NormFloat64()
 		first := time.Duration((baseMS + tokenMS*float64(missing)) * noise * float64(time.Millisecond))
-		p.observe(Observation{Kind: "r", Missing: missing, First: first, Took: first + 300*time.Millisecond, Events: 10}, 16)
+		p.observe(Observation{Kind: "r", UncachedTokens: missing, TimeToFirstEvent: first, Duration: first + 300*time.Millisecond, Events: 10}, 16)
 	}
 }
 
@@ -33,7 +33,7 @@
 	p := newPace()
 	require.InDelta(t, priorReading, p.readingMS(), 0)
 	for range 100 {
-		p.observe(Observation{Kind: "r", Missing: 600, First: 50 * time.Millisecond, Took: time.Second, Events: 5}, 16)
+		p.observe(Observation{Kind: "r", UncachedTokens: 600, TimeToFirstEvent: 50 * time.Millisecond, Duration: time.Second, Events: 5}, 16)
 	}
 	require.InDelta(t, priorReading, p.readingMS(), 0, "turns of one length do not tell what a token costs")
 	require.InDelta(t, 600, p.readTokens(), 1)
@@ -46,7 +46,7 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	answers(p, random, 400, 0.006)
 	for range 400 {
-		p.observe(Observation{Kind: "r", Missing: random.IntN(12000), Load: 16, First: 3 * time.Second, Took: 4 * time.Second, Events: 9}, 16)
+		p.observe(Observation{Kind: "r", UncachedTokens: random.IntN(12000), Load: 16, TimeToFirstEvent: 3 * time.Second, Duration: 4 * time.Second, Events: 9}, 16)
 	}
 	require.InEpsilon(t, 0.006, p.readingMS(), 0.3)
 }
@@ -65,7 +65,7 @@
 			took *= slow
 		}
 		d.End(*now, d.choiceOf(id), Answered)
-		d.Observe(*now, d.choiceOf(id), Observation{Kind: "r", Took: time.Duration(took * float64(time.Millisecond))})
+		d.Observe(*now, d.choiceOf(id), Observation{Kind: "r", Duration: time.Duration(took * float64(time.Millisecond))})
 	}
 	return counts
 }
@@ -90,15 +90,15 @@
 func TestASessionGoesWhereAnotherGatewayLeftItsPrompt(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(50), false)
-	session := []Part{{ID: "shared", Tokens: 12000}, {ID: "session", Tokens: 5000}}
-	demand := Demand{Service: "llm", Generates: true, Parts: session, Cached: []Cached{
-		{Instance: "e31", Part: 1, Tokens: 2000}, {Instance: "e41", Part: 1, Tokens: 4000}, {Instance: "gone", Part: 1, Tokens: 5000},
+	session := []PromptPart{{ID: "shared", Tokens: 12000}, {ID: "session", Tokens: 5000}}
+	demand := Demand{Service: "llm", Generates: true, PromptParts: session, CachedPrompts: []CachedPrompt{
+		{Instance: "e31", PartIndex: 1, Tokens: 2000}, {Instance: "e41", PartIndex: 1, Tokens: 4000}, {Instance: "gone", PartIndex: 1, Tokens: 5000},
 	}}
 	for i := range 3 {
 		choice, found := d.Pick(start, demand)
 		require.True(t, found)
 		require.Equal(t, "e41", choice.Instance.ID, "pick %d: the instance that lacks least", i)
-		require.Equal(t, 1000, choice.Missing)
+		require.Equal(t, 1000, choice.UncachedTokens)
 		d.End(start, choice, Answered)
 		d.members["e41"].cache = newPromptCache()
 	}
@@ -106,11 +106,11 @@
 
 func TestAPartThatGrewIsHeldAsFarAsItWasRead(t *testing.T) {
 	cache := newPromptCache()
-	cache.add(start, []Part{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}})
-	require.Equal(t, 500, cache.missing(start, []Part{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}}))
-	behind := []Part{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}, {ID: "child", Tokens: 50}}
-	cache.add(start, []Part{{ID: "child", Tokens: 50}})
+	cache.add(start, []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}})
+	require.Equal(t, 500, cache.missing(start, []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}}))
+	behind := []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}, {ID: "child", Tokens: 50}}
+	cache.add(start, []PromptPart{{ID: "child", Tokens: 50}})
 	require.Equal(t, 550, cache.missing(start, behind), "what stands behind a gap is not held")
-	require.Equal(t, 1300, cache.missing(start.Add(cacheLife), []Part{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}}))
-	require.Equal(t, 1000, cache.missing(start, []Part{{ID: "new", Tokens: 1000}}))
+	require.Equal(t, 1300, cache.missing(start.Add(cacheLife), []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}}))
+	require.Equal(t, 1000, cache.missing(start, []PromptPart{{ID: "new", Tokens: 1000}}))
 }
--- a/internal/coldstart/changes.go
+++ b/internal/coldstart/changes.go
@@ -19,7 +19,7 @@
 
 // Changes returns which instances became cold or warm since the last call, in the order of
 // their ids, and how many are cold.
-func (g *Gate) Changes(now time.Time) (changes []Change, cold int) {
+func (g *Limiter) Changes(now time.Time) (changes []Change, cold int) {
 	maps.Copy(g.changed, g.cold) // these become warm as time passes
 	for id, known := range g.changed {
 		delete(g.changed, id)
@@ -41,7 +41,7 @@
 }
 
 // NextChange returns when the first cold instance becomes warm, zero if none is cold.
-func (g *Gate) NextChange() time.Time {
+func (g *Limiter) NextChange() time.Time {
 	var next time.Time
 	for _, known := range g.cold {
 		if until := g.coldUntil(known); next.IsZero() || until.Before(next) {
--- a/internal/coldstart/gate.go
+++ b/internal/coldstart/limiter.go
@@ -34,12 +34,12 @@
 	number   uint64
 }
 
-// Gate decides what one gateway may send to cold instances. It is a pure state machine and
+// Limiter decides what one gateway may send to cold instances. It is a pure state machine and
 // not safe for concurrent use.
-type Gate struct {
+type Limiter struct {
 	self   uint64
 	policy Policy
-	limits map[string]Service
+	limits map[string]ServiceConfig
 	// rosters are the lists of gateways in force within settleTime, the newest last; version
 	// counts their changes, and those of the limits.
 	rosters   []roster
@@ -56,11 +56,11 @@
 	permits uint64
 }
 
-// Service is what the configuration says of a service.
-type Service struct {
+// ServiceConfig is what the configuration says of a service.
+type ServiceConfig struct {
 	Limit
-	// Start is how long an instance is cold after it started.
-	Start time.Duration
+	// ColdPeriod is how long an instance is cold after it started.
+	ColdPeriod time.Duration
 }
 
 // roster is a list of gateways and since when it is in force.
@@ -109,10 +109,10 @@
 	freeAt time.Time
 }
 
-// NewGate returns a gate of the named gateway that knows nothing, and thus lets nothing go to
+// NewLimiter returns a gate of the named gateway that knows nothing, and thus lets nothing go to
 // cold instances.
-func NewGate(self string, policy Policy) *Gate {
-	return &Gate{
+func NewLimiter(self string, policy Policy) *Limiter {
+	return &Limiter{
 		self: xxhash.Sum64String(self), policy: policy,
 		instances: map[string]*instance{}, missing: map[string]*instance{}, changed: map[string]*instance{}, cold: map[string]*instance{},
 	}
@@ -120,7 +120,7 @@
 
 // SetServices replaces what the configuration says, by service. Most configurations say the same
 // as the one before, and none of thousands of instances becomes cold or warm by them.
-func (g *Gate) SetServices(services map[string]Service) {
+func (g *Limiter) SetServices(services map[string]ServiceConfig) {
 	if maps.Equal(services, g.limits) {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // SetGateways replaces the list of gateways.
-func (g *Gate) SetGateways(now time.Time, listed []Gateway) {
+func (g *Limiter) SetGateways(now time.Time, listed []Gateway) {
 	gateways := slices.Clone(listed)
 	for index := range gateways {
 		gateways[index].hash = xxhash.Sum64String(gateways[index].Name)
@@ -145,17 +145,17 @@
 }
 
 // dropRosters forgets lists that were replaced longer than settleTime ago.
-func (g *Gate) dropRosters(now time.Time) {
+func (g *Limiter) dropRosters(now time.Time) {
 	for len(g.rosters) > 1 && now.Sub(g.rosters[1].since) >= settleTime {
 		g.rosters = g.rosters[1:]
 		g.version++
 	}
 }
 
-// Change takes entries that are new or changed, and the ids of instances that the list lacks now.
+// ApplyChanges takes entries that are new or changed, and the ids of instances that the list lacks now.
 // The first call lists all instances: they were there before this process and are not new; they
 // are cold if they say so.
-func (g *Gate) Change(now time.Time, entries []Entry, gone []string) {
+func (g *Limiter) ApplyChanges(now time.Time, entries []Entry, gone []string) {
 	for _, entry := range entries {
 		g.hear(now, entry)
 	}
@@ -178,7 +178,7 @@
 
 // hear takes an instance's entry. The same value delivered again starts nothing anew, unless
 // its entry had been away: it may have started again meanwhile.
-func (g *Gate) hear(now time.Time, entry Entry) {
+func (g *Limiter) hear(now time.Time, entry Entry) {
 	known := g.instances[entry.ID]
 	appeared := known == nil
 	if appeared {
@@ -198,9 +198,9 @@
 }
 
 // AssumeCold takes the instances of a zone as just started, until they say otherwise.
-func (g *Gate) AssumeCold(now time.Time, zone string) {
+func (g *Limiter) AssumeCold(now time.Time, zone string) {
 	for _, known := range g.instances {
-		until := now.Add(g.limits[known.entry.Service].Start)
+		until := now.Add(g.limits[known.entry.Service].ColdPeriod)
 		if known.entry.Zone == zone && until.After(known.saidUntil) {
 			known.saidUntil = until
 			g.changed[known.entry.ID] = known
@@ -209,29 +209,29 @@
 }
 
 // coldUntil returns until when an instance is cold; a time in the past if it is not.
-func (g *Gate) coldUntil(known *instance) time.Time {
+func (g *Limiter) coldUntil(known *instance) time.Time {
 	until := known.saidUntil
-	if started := known.startedAt.Add(g.limits[known.entry.Service].Start); !known.startedAt.IsZero() && started.After(until) {
+	if started := known.startedAt.Add(g.limits[known.entry.Service].ColdPeriod); !known.startedAt.IsZero() && started.After(until) {
 		until = started
 	}
 	return until
 }
 
 // limited reports whether a limit holds for the service's cold instances.
-func (g *Gate) limited(service string) bool { return g.limits[service].PerSecond > 0 }
+func (g *Limiter) limited(service string) bool { return g.limits[service].PerSecond > 0 }
 
-func (g *Gate) isCold(now time.Time, known *instance) bool {
+func (g *Limiter) isCold(now time.Time, known *instance) bool {
 	return g.limited(known.entry.Service) && now.Before(g.coldUntil(known))
 }
 
 // Cold reports whether an instance is cold and has a limit.
-func (g *Gate) Cold(now time.Time, id string) bool {
+func (g *Limiter) Cold(now time.Time, id string) bool {
 	known := g.instances[id]
 	return known != nil && g.isCold(now, known)
 }
 
 // Admits reports whether a request may go to an instance.
-func (g *Gate) Admits(now time.Time, id string) bool {
+func (g *Limiter) Admits(now time.Time, id string) bool {
 	known := g.instances[id]
 	if known == nil || !g.isCold(now, known) {
 		return true
@@ -242,7 +242,7 @@
 
 // share returns how many places of an instance this gateway may use: the least by any list of
 // gateways in force within settleTime, and none before a list was in force that long.
-func (g *Gate) share(now time.Time, known *instance) int {
+func (g *Limiter) share(now time.Time, known *instance) int {
 	g.dropRosters(now)
 	if len(g.rosters) == 0 || now.Sub(g.rosters[0].since) < settleTime {
 		return 0
@@ -250,7 +250,7 @@
 	if known.shareVersion == g.version {
 		return known.leastShare
 	}
-	bound := g.policy.InSecond(g.limits[known.entry.Service].Limit)
+	bound := g.policy.MaxPerWindow(g.limits[known.entry.Service].Limit)
 	known.leastShare, known.shareVersion = bound, g.version
 	for _, list := range g.rosters {
 		known.leastShare = min(known.leastShare, Share(list.gateways, g.self, known.entry.ID, known.entry.Zone, bound))
@@ -265,9 +265,9 @@
 	})
 }
 
-// Take takes a place for a request that Admits let through. Sends to instances that are warm
+// Acquire takes a place for a request that Admits let through. Sends to instances that are warm
 // take places as well: they count if the instance becomes cold within the window.
-func (g *Gate) Take(now time.Time, id string) Permit {
+func (g *Limiter) Acquire(now time.Time, id string) Permit {
 	known := g.instances[id]
 	if known == nil || !g.limited(known.entry.Service) {
 		return Permit{}
@@ -278,9 +278,9 @@
 	return Permit{instance: id, number: g.permits}
 }
 
-// Send reports whether the request may be sent now, and is asked just before it is. It must
+// BeginSend reports whether the request may be sent now, and is asked just before it is. It must
 // not be sent if not.
-func (g *Gate) Send(now time.Time, permit Permit) bool {
+func (g *Limiter) BeginSend(now time.Time, permit Permit) bool {
 	held := g.held(permit)
 	if held == nil {
 		return permit == Permit{}
@@ -293,7 +293,7 @@
 }
 
 // held returns the place that a permit holds, nil if it has none.
-func (g *Gate) held(permit Permit) *heldPlace {
+func (g *Limiter) held(permit Permit) *heldPlace {
 	known := g.instances[permit.instance]
 	if known == nil {
 		return nil
@@ -305,36 +305,36 @@
 	return &known.places[index]
 }
 
-// Answered notes that the answer to a request begins: the request arrived before.
-func (g *Gate) Answered(now time.Time, permit Permit) {
+// ResponseStarted notes that the answer to a request begins: the request arrived before.
+func (g *Limiter) ResponseStarted(now time.Time, permit Permit) {
 	if held := g.held(permit); held != nil && held.freeAt.IsZero() {
 		held.freeAt = now.Add(Window)
 	}
 }
 
-// Unanswered notes that a request was given up, sent or not.
-func (g *Gate) Unanswered(now time.Time, permit Permit) {
+// Abandon notes that a request was given up, sent or not.
+func (g *Limiter) Abandon(now time.Time, permit Permit) {
 	held := g.held(permit)
 	switch {
 	case held == nil:
 	case !held.sent:
-		g.NotCounted(permit)
+		g.Release(permit)
 	case held.freeAt.IsZero():
 		held.freeAt = now.Add(unansweredTime + Window)
 	}
 }
 
-// NotCounted gives a place back at once: the request was not sent, or went to another
+// Release gives a place back at once: the request was not sent, or went to another
 // instance that has the address now.
-func (g *Gate) NotCounted(permit Permit) {
+func (g *Limiter) Release(permit Permit) {
 	if known := g.instances[permit.instance]; known != nil {
 		known.places = slices.DeleteFunc(known.places, func(held heldPlace) bool { return held.number == permit.number })
 	}
 }
 
-// NextPlace returns when a place of a cold instance of the service is free for this gateway,
+// NextFreePlace returns when a place of a cold instance of the service is free for this gateway,
 // and false if it has none in any.
-func (g *Gate) NextPlace(now time.Time, service string) (time.Duration, bool) {
+func (g *Limiter) NextFreePlace(now time.Time, service string) (time.Duration, bool) {
 	next, found := time.Duration(0), false
 	for _, known := range g.instances {
 		if known.entry.Service != service || !known.missingSince.IsZero() || !g.isCold(now, known) {
--- a/internal/coldstart/gate_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -15,16 +15,16 @@
 const coldStart = 3 * time.Second
 
 // newGate returns the only gateway of a fleet. Of four places it has two: lists may differ.
-func newGate(entries ...Entry) *Gate {
-	gate := NewGate("a", Policy{Overage: 1})
-	gate.SetServices(map[string]Service{"engines": {Limit: Limit{PerSecond: 4}, Start: coldStart}})
+func newGate(entries ...Entry) *Limiter {
+	gate := NewLimiter("a", Policy{Overage: 1})
+	gate.SetServices(map[string]ServiceConfig{"engines": {Limit: Limit{PerSecond: 4}, ColdPeriod: coldStart}})
 	gate.SetGateways(begin.Add(-settleTime), []Gateway{{Name: "a", Zone: "z"}})
 	gate.List(begin, entries)
 	return gate
 }
 
 // List replaces the list of instances.
-func (g *Gate) List(now time.Time, entries []Entry) {
+func (g *Limiter) List(now time.Time, entries []Entry) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
@@ -35,7 +35,7 @@
 			gone = append(gone, id)
 		}
 	}
-	g.Change(now, entries, gone)
+	g.ApplyChanges(now, entries, gone)
 }
 
 func entry(coldFor time.Duration) Entry {
@@ -44,16 +44,16 @@
 
 func TestWhenAnInstanceIsCold(t *testing.T) {
 	const s = time.Second
-	heard := func(coldFor time.Duration) func(*Gate, time.Time) {
-		return func(g *Gate, now time.Time) { g.List(now, []Entry{entry(coldFor)}) }
+	heard := func(coldFor time.Duration) func(*Limiter, time.Time) {
+		return func(g *Limiter, now time.Time) { g.List(now, []Entry{entry(coldFor)}) }
 	}
-	gone := func(g *Gate, now time.Time) { g.List(now, nil) }
-	evacuated := func(zone string) func(*Gate, time.Time) {
-		return func(g *Gate, now time.Time) { g.AssumeCold(now, zone) }
+	gone := func(g *Limiter, now time.Time) { g.List(now, nil) }
+	evacuated := func(zone string) func(*Limiter, time.Time) {
+		return func(g *Limiter, now time.Time) { g.AssumeCold(now, zone) }
 	}
 	type happening struct {
 		at time.Duration
-		do func(*Gate, time.Time)
+		do func(*Limiter, time.Time)
 	}
 	for name, test := range map[string]struct {
 		first      []Entry
@@ -91,23 +91,23 @@
 	gate := newGate(entry(time.Minute))
 	gate.policy.Slack = 2 // a third place
 	at := func(milliseconds int) time.Time { return begin.Add(time.Duration(milliseconds) * time.Millisecond) }
-	answered, misdirected, refused := gate.Take(at(0), "i"), gate.Take(at(0), "i"), gate.Take(at(0), "i")
+	answered, misdirected, refused := gate.Acquire(at(0), "i"), gate.Acquire(at(0), "i"), gate.Acquire(at(0), "i")
 	require.False(t, gate.Admits(at(100), "i"))
-	require.True(t, gate.Send(at(100), answered) && gate.Send(at(100), misdirected))
-	gate.NotCounted(misdirected)
-	gate.Unanswered(at(100), refused) // no connection came up
+	require.True(t, gate.BeginSend(at(100), answered) && gate.BeginSend(at(100), misdirected))
+	gate.Release(misdirected)
+	gate.Abandon(at(100), refused) // no connection came up
 	require.True(t, gate.Admits(at(100), "i"))
-	lost, lapsed := gate.Take(at(100), "i"), gate.Take(at(100), "i")
-	gate.Answered(at(200), answered)
-	require.True(t, gate.Send(at(499), lost))
-	gate.Unanswered(at(500), lost)
-	require.False(t, gate.Send(at(500), lapsed), "a permit is good for a short time")
-	wait, shared := gate.NextPlace(at(500), "engines")
+	lost, lapsed := gate.Acquire(at(100), "i"), gate.Acquire(at(100), "i")
+	gate.ResponseStarted(at(200), answered)
+	require.True(t, gate.BeginSend(at(499), lost))
+	gate.Abandon(at(500), lost)
+	require.False(t, gate.BeginSend(at(500), lapsed), "a permit is good for a short time")
+	wait, shared := gate.NextFreePlace(at(500), "engines")
 	require.True(t, shared)
 	require.Zero(t, wait)
-	gate.Take(at(900), "i")
-	gate.Take(at(900), "i")
-	wait, _ = gate.NextPlace(at(1000), "engines")
+	gate.Acquire(at(900), "i")
+	gate.Acquire(at(900), "i")
+	wait, _ = gate.NextFreePlace(at(1000), "engines")
 	require.Equal(t, 300*time.Millisecond, wait, "the third send more than there are places waits for two")
 	require.False(t, gate.Admits(at(1299), "i"))
 	require.True(t, gate.Admits(at(1300), "i"))
@@ -117,11 +117,11 @@
 }
 
 func TestAGatewayWithoutAShareSendsNothing(t *testing.T) {
-	for name, prepare := range map[string]func(*Gate){
-		"knows no list": func(g *Gate) { g.rosters = nil },
-		"just started":  func(g *Gate) { g.rosters[0].since = begin },
-		"is not listed": func(g *Gate) { g.SetGateways(begin, []Gateway{{Name: "b", Zone: "z"}}) },
-		"was not listed late": func(g *Gate) {
+	for name, prepare := range map[string]func(*Limiter){
+		"knows no list": func(g *Limiter) { g.rosters = nil },
+		"just started":  func(g *Limiter) { g.rosters[0].since = begin },
+		"is not listed": func(g *Limiter) { g.SetGateways(begin, []Gateway{{Name: "b", Zone: "z"}}) },
+		"was not listed late": func(g *Limiter) {
 			g.SetGateways(begin, []Gateway{{Name: "b", Zone: "z"}})
 			g.SetGateways(begin, []Gateway{{Name: "a", Zone: "z"}})
 		},
@@ -130,7 +130,7 @@
 		require.True(t, gate.Admits(begin, "i"))
 		prepare(gate)
 		require.False(t, gate.Admits(begin, "i"), name)
-		_, shared := gate.NextPlace(begin, "engines")
+		_, shared := gate.NextFreePlace(begin, "engines")
 		require.False(t, shared, name)
 	}
 }
--- a/internal/coldstart/schedule_test.go
+++ b/internal/coldstart/schedule_test.go
@@ -35,7 +35,7 @@
 // fleetGateway is a gateway of the schedule.
 type fleetGateway struct {
 	name string
-	gate *Gate
+	gate *Limiter
 	// cutOff gateways hear of no change of the lists.
 	cutOff bool
 	// frozenUntil is until when the process stands still, restarts how often it ended.
@@ -47,7 +47,7 @@
 type schedule struct {
 	random   *rand.Rand
 	without  removed
-	services map[string]Service
+	services map[string]ServiceConfig
 	policy   Policy
 	gateways []*fleetGateway
 	// names is the registry's list of gateways, changes how often it may change.
@@ -75,7 +75,7 @@
 	random := rand.New(rand.NewPCG(seed, 7))
 	s := &schedule{
 		random: random, without: without, policy: Policy{Overage: 1.5, Slack: 5}, events: map[int][]func(time.Time){},
-		services: map[string]Service{"engines": {Limit: Limit{PerSecond: float64(2 + random.IntN(40))}, Start: 6 * time.Second}},
+		services: map[string]ServiceConfig{"engines": {Limit: Limit{PerSecond: float64(2 + random.IntN(40))}, ColdPeriod: 6 * time.Second}},
 	}
 	for number := range 2 + random.IntN(50) {
 		s.names = append(s.names, fmt.Sprint("gateway-", number))
@@ -107,11 +107,11 @@
 		count := len(s.names)
 		most := (count + min(maxDisagreement, (count+disagreementDivisor-1)/disagreementDivisor)) * (1 + s.random.IntN(2))
 		s.policy = Policy{Overage: 1}
-		s.services["engines"] = Service{Limit: Limit{PerSecond: float64(most)}, Start: 6 * time.Second}
+		s.services["engines"] = ServiceConfig{Limit: Limit{PerSecond: float64(most)}, ColdPeriod: 6 * time.Second}
 	}
 }
 
-func (s *schedule) bound() int { return s.policy.InSecond(s.services["engines"].Limit) }
+func (s *schedule) bound() int { return s.policy.MaxPerWindow(s.services["engines"].Limit) }
 
 func (s *schedule) chance(share float64) bool { return s.random.Float64() < share }
 
@@ -132,7 +132,7 @@
 		rounds := (s.bound() + len(s.names) - 1) / len(s.names)
 		policy.Slack += float64(2 * rounds * disagreement(len(s.names), s.bound()))
 	}
-	gateway.gate = NewGate(gateway.name, policy)
+	gateway.gate = NewLimiter(gateway.name, policy)
 	gateway.gate.SetServices(s.services)
 	gateway.gate.SetGateways(now, s.listed(s.names))
 	if s.without == waitAtStart || now.Equal(begin) {
@@ -207,7 +207,7 @@
 // bound what goes to an instance that is believed to be warm.
 func (s *schedule) turnCold(now time.Time) {
 	const spreading = 500 * time.Millisecond
-	entry := Entry{ID: "instance", Service: "engines", Zone: "near", ColdFor: s.services["engines"].Start}
+	entry := Entry{ID: "instance", Service: "engines", Zone: "near", ColdFor: s.services["engines"].ColdPeriod}
 	s.coldFrom, s.coldUntil = now, now.Add(entry.ColdFor)
 	if s.knownBefore {
 		s.coldFrom = now.Add(spreading + longestWay + Window)
@@ -226,7 +226,7 @@
 	if gateway.gate.instances["instance"] == nil || !gateway.gate.Admits(now, "instance") {
 		return
 	}
-	permit := gateway.gate.Take(now, "instance")
+	permit := gateway.gate.Acquire(now, "instance")
 	if s.chance(s.freezing) {
 		gateway.frozenUntil = now.Add(s.within(4 * time.Second))
 	}
@@ -241,11 +241,11 @@
 }
 
 func (s *schedule) send(now time.Time, gateway *fleetGateway, permit Permit) {
-	if !gateway.gate.Send(now, permit) && s.without != checkAtSend {
+	if !gateway.gate.BeginSend(now, permit) && s.without != checkAtSend {
 		return
 	}
 	if s.without == countToAnswer {
-		gateway.gate.Answered(now, permit)
+		gateway.gate.ResponseStarted(now, permit)
 	}
 	arrival := now.Add(s.within(5 * time.Millisecond))
 	if s.chance(s.late) { // held up on the way
@@ -258,9 +258,9 @@
 			if gateway.restarts != process {
 				return
 			}
-			gateway.gate.Unanswered(then, permit)
+			gateway.gate.Abandon(then, permit)
 			if s.without == countUnanswered {
-				gateway.gate.NotCounted(permit)
+				gateway.gate.Release(permit)
 			}
 		})
 		return
@@ -268,8 +268,8 @@
 	s.later(arrival.Add(s.within(50*time.Millisecond)), func(then time.Time) {
 		s.awake(then, gateway, func(then time.Time, gateway *fleetGateway) {
 			if gateway.restarts == process {
-				gateway.gate.Answered(then, permit)
-				gateway.gate.Answered(then.Add(-time.Second), permit) // told twice
+				gateway.gate.ResponseStarted(then, permit)
+				gateway.gate.ResponseStarted(then.Add(-time.Second), permit) // told twice
 			}
 		})
 	})
--- a/internal/coldstart/share.go
+++ b/internal/coldstart/share.go
@@ -41,8 +41,8 @@
 	Slack   float64
 }
 
-// InSecond returns how many requests may arrive at a cold instance in any one second.
-func (p Policy) InSecond(limit Limit) int {
+// MaxPerWindow returns how many requests may arrive at a cold instance in any one second.
+func (p Policy) MaxPerWindow(limit Limit) int {
 	return int(math.Floor(limit.PerSecond*p.Overage + p.Slack))
 }
 
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -253,10 +253,10 @@
 
 // instances returns a change of instances in the terms of those who place work on them.
 func (c Change) instances() backend.Changes {
-	changes := backend.Changes{All: c.All, Listed: make([]backend.Instance, 0, len(c.Records))}
+	changes := backend.Changes{Snapshot: c.All, Listed: make([]backend.Instance, 0, len(c.Records))}
 	for _, record := range c.Records {
 		if record.Deleted {
-			changes.Gone = append(changes.Gone, record.Name)
+			changes.Removed = append(changes.Removed, record.Name)
 			continue
 		}
 		changes.Listed = append(changes.Listed, *record.Instance)
--- a/internal/feed/node_test.go
+++ b/internal/feed/node_test.go
@@ -129,13 +129,13 @@
 
 // apply follows the changes of the list of instances.
 func (l *listener) apply(changes backend.Changes) {
-	if changes.All {
+	if changes.Snapshot {
 		l.instances = map[string]backend.Instance{}
 	}
 	for _, instance := range changes.Listed {
 		l.instances[instance.ID] = instance
 	}
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		delete(l.instances, id)
 	}
 }
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -19,11 +19,11 @@
 const coldWaitDivisor = 4
 
 // coldServices returns what the configuration says of cold instances, by service.
-func coldServices(table *route.Table) map[string]coldstart.Service {
-	services := map[string]coldstart.Service{}
+func coldServices(table *route.Table) map[string]coldstart.ServiceConfig {
+	services := map[string]coldstart.ServiceConfig{}
 	for name, service := range table.Services {
 		if service.ColdPerSecond > 0 {
-			services[name] = coldstart.Service{Limit: coldstart.Limit{PerSecond: service.ColdPerSecond}, Start: service.ColdStart}
+			services[name] = coldstart.ServiceConfig{Limit: coldstart.Limit{PerSecond: service.ColdPerSecond}, ColdPeriod: service.ColdStart}
 		}
 	}
 	return services
@@ -42,7 +42,7 @@
 // it may. Where only cold instances serve, it is refused at once unless this gateway has a free
 // place soon. One that was sent before waits on: it may be a stream that has begun.
 func (s *Server) refuseWhileCold(r *request, service string) *backend.Failure {
-	wait, shared, only := s.directory.OnlyCold(time.Now(), service)
+	wait, shared, only := s.directory.AllCold(time.Now(), service)
 	switch {
 	case !only || r.outcome.sends > 0:
 		return nil
--- a/internal/gateway/coldstart_test.go
+++ b/internal/gateway/coldstart_test.go
@@ -19,7 +19,7 @@
 	s := gatewayOf(t)
 	services := []route.Service{{Name: "apps", ColdPerSecond: 2, ColdStart: time.Hour}}
 	s.directory.SetColdServices(time.Now(), coldServices(route.NewTable(2, nil, services, route.Limits{})))
-	s.InstancesChanged(backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "apps", Zone: "z", Slots: 1}}}, false)
+	s.InstancesChanged(backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "i", Service: "apps", Zone: "z", Slots: 1}}}, false)
 	answer := ask(s, "60000")
 	require.Equal(t, http.StatusServiceUnavailable, answer.Code)
 	require.Equal(t, "0.02", answer.Header().Get("Retry-After"), "other gateways have places")
@@ -28,7 +28,7 @@
 	choice, found := s.directory.Pick(time.Now(), backend.Demand{Service: "apps"})
 	require.True(t, found, "this gateway has one place")
 	require.True(t, s.directory.MaySend(time.Now(), choice))
-	s.directory.Arrived(time.Now(), choice)
+	s.directory.ResponseStarted(time.Now(), choice)
 	answer = ask(s, "60000")
 	require.Equal(t, http.StatusServiceUnavailable, answer.Code)
 	seconds, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -318,10 +318,10 @@
 	g.takeSections(now, report)
 	switch report.Zone {
 	case "":
-		g.directory.RemoteLoads(now, backend.LoadSource{Gateway: report.Gateway}, report.Loads)
+		g.directory.SetRemoteLoads(now, backend.LoadSource{Gateway: report.Gateway}, report.Loads)
 	case g.zone:
 	default:
-		g.directory.RemoteLoads(now, backend.LoadSource{Zone: report.Zone}, report.Loads)
+		g.directory.SetRemoteLoads(now, backend.LoadSource{Zone: report.Zone}, report.Loads)
 	}
 }
 
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -17,7 +17,7 @@
 
 func gossipOf(node, zone string) *Gossip {
 	directory := backend.NewDirectory(zone)
-	directory.Change(time.Unix(1000, 0), backend.Changes{All: true, Listed: []backend.Instance{{ID: "e", Service: "llm", Slots: 8}}}, false)
+	directory.ApplyChanges(time.Unix(1000, 0), backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "e", Service: "llm", Slots: 8}}}, false)
 	return NewGossip(node, zone, nil, directory, nil)
 }
 
--- a/internal/gateway/instancespeed.go
+++ b/internal/gateway/instancespeed.go
@@ -68,7 +68,7 @@
 
 // report returns what is told, unless the last report that did so went out moments ago.
 func (s *speedSection) report(now time.Time, wholeZone bool, told *time.Time) []byte {
-	if now.Sub(*told) < time.Duration(s.directory.SpeedReporters())*speedPause {
+	if now.Sub(*told) < time.Duration(s.directory.SpeedSources())*speedPause {
 		return nil
 	}
 	*told = now
@@ -82,7 +82,7 @@
 			Str("zone", source.Zone).Err(err).Msg("")
 		return
 	}
-	s.directory.TakeSpeeds(now, source, version, entries)
+	s.directory.ApplySpeedReport(now, source, version, entries)
 }
 
 // speedReview logs instances whose believed speed changes its class. It is used by the goroutine
@@ -117,13 +117,13 @@
 func (v *speedReview) isDue(now time.Time) bool { return now.Sub(v.at) >= speedReviewInterval }
 
 // look compares the believed speeds with those logged last.
-func (v *speedReview) look(now time.Time, speeds []backend.SpeedOf) {
+func (v *speedReview) look(now time.Time, speeds []backend.InstanceSpeed) {
 	v.at = now
 	logged := 0
 	classes := make(map[string]speedClass, len(speeds))
 	for _, known := range speeds {
 		before := v.classes[known.Instance]
-		class := classOf(known.Believed.Slower(), before)
+		class := classOf(known.Estimate.LogSlowdown(), before)
 		if class != before && logged < mostSpeedChanges {
 			logged++
 			v.logChange(known, before, class)
@@ -136,13 +136,13 @@
 	v.metrics.showSpeeds(speeds)
 }
 
-func (v *speedReview) logChange(known backend.SpeedOf, before, class speedClass) {
+func (v *speedReview) logChange(known backend.InstanceSpeed, before, class speedClass) {
 	v.metrics.speedChanges.Inc()
-	believed := known.Believed
+	believed := known.Estimate
 	v.log.Info().Str("event", "instance_speed_changed").Str("instance", known.Instance).Str("service", known.Service).
-		Int("class", int(class)).Int("class_before", int(before)).Float64("factor", believed.Factor()).
-		Float64("stable", believed.Stable).Float64("momentary", believed.Momentary).Float64("failing", believed.Failing).
-		Float64("refusing", believed.Refusing).Float64("observations", believed.Weight).Int("reporters", known.Reporters).Msg("")
+		Int("class", int(class)).Int("class_before", int(before)).Float64("factor", believed.Slowdown()).
+		Float64("stable", believed.Stable).Float64("momentary", believed.Transient).Float64("failing", believed.FailureRate).
+		Float64("refusing", believed.RefusalRate).Float64("observations", believed.Weight).Int("reporters", known.Sources).Msg("")
 }
 
 // mostOverdue is how many times longer than a sign of life is expected within a request's silence is
@@ -152,24 +152,24 @@
 // watchOverdue counts a request against its instance at once while it stays without a sign of life
 // for longer than expected there. The returned function ends that.
 func (s *Server) watchOverdue(ctx context.Context, r *request, choice backend.Choice) (stop func()) {
-	sign := s.directory.ExpectSign(time.Now(), choice, r.route.Kind == route.Streaming)
-	if sign.Within == 0 {
+	sign := s.directory.ExpectResponse(time.Now(), choice, r.route.Kind == route.Streaming)
+	if sign.OverdueAfter == 0 {
 		return func() {}
 	}
 	ctx, stop = context.WithCancel(ctx)
-	time.AfterFunc(sign.Within, func() { s.overdue(ctx, choice, sign, 1) })
+	time.AfterFunc(sign.OverdueAfter, func() { s.overdue(ctx, choice, sign, 1) })
 	return stop
 }
 
 // overdue counts a silence that is so many times as long as a sign of life is expected within.
-func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.Sign, times float64) {
+func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.ResponseExpectation, times float64) {
 	if ctx.Err() != nil {
 		return
 	}
 	s.metrics.overdue.Inc()
-	s.directory.Overdue(time.Now(), choice, sign, times)
+	s.directory.ObserveOverdue(time.Now(), choice, sign, times)
 	if times < mostOverdue {
-		time.AfterFunc(time.Duration(times)*sign.Within, func() { s.overdue(ctx, choice, sign, 2*times) })
+		time.AfterFunc(time.Duration(times)*sign.OverdueAfter, func() { s.overdue(ctx, choice, sign, 2*times) })
 	}
 }
 
@@ -188,15 +188,15 @@
 }
 
 // showSpeeds shows the fastest, the median and the slowest instance of each service.
-func (m *Metrics) showSpeeds(speeds []backend.SpeedOf) {
+func (m *Metrics) showSpeeds(speeds []backend.InstanceSpeed) {
 	for len(speeds) > 0 {
 		service, count := speeds[0].Service, 0
 		for count < len(speeds) && speeds[count].Service == service {
 			count++
 		}
-		m.speeds.WithLabelValues(service, "fastest").Set(speeds[0].Believed.Factor())
-		m.speeds.WithLabelValues(service, "median").Set(speeds[count/2].Believed.Factor())
-		m.speeds.WithLabelValues(service, "slowest").Set(speeds[count-1].Believed.Factor())
+		m.speeds.WithLabelValues(service, "fastest").Set(speeds[0].Estimate.Slowdown())
+		m.speeds.WithLabelValues(service, "median").Set(speeds[count/2].Estimate.Slowdown())
+		m.speeds.WithLabelValues(service, "slowest").Set(speeds[count-1].Estimate.Slowdown())
 		speeds = speeds[count:]
 	}
 }
--- a/internal/gateway/instancespeed_test.go
+++ b/internal/gateway/instancespeed_test.go
@@ -39,13 +39,13 @@
 func TestSpeedsAreToldTheLessOftenTheMoreGatewaysThereAre(t *testing.T) {
 	now := time.Unix(1000, 0)
 	directory := backend.NewDirectory("z")
-	directory.Change(now, backend.Changes{All: true, Listed: []backend.Instance{{ID: "e", Service: "s", Zone: "z", Slots: 6}}}, false)
+	directory.ApplyChanges(now, backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "e", Service: "s", Zone: "z", Slots: 6}}}, false)
 	choice, _ := directory.Pick(now, backend.Demand{Service: "s", ByExpectedEnd: true})
-	directory.Observe(now, choice, backend.Observation{Kind: "k", Took: time.Second})
+	directory.Observe(now, choice, backend.Observation{Kind: "k", Duration: time.Second})
 	section := NewSpeedSection(directory, nil, NewMetrics("g"))
 	const gateways = 100
 	for number := range gateways {
-		directory.TakeSpeeds(now, tally.Source{Gateway: string(rune('A' + number))}, tally.Version{Number: 1}, nil)
+		directory.ApplySpeedReport(now, tally.Source{Gateway: string(rune('A' + number))}, tally.Version{Number: 1}, nil)
 	}
 	told := 0
 	for range int(time.Second / gossipInterval) {
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -45,7 +45,7 @@
 // InstancesChanged applies changes of the list of instances. An incomplete list may lack some
 // that are there.
 func (s *Server) InstancesChanged(changes backend.Changes, incomplete bool) {
-	ended := s.directory.Change(time.Now(), changes, incomplete)
+	ended := s.directory.ApplyChanges(time.Now(), changes, incomplete)
 	for _, id := range ended {
 		s.pool.Forget(id)
 	}
@@ -58,8 +58,8 @@
 			leaving++
 		}
 	}
-	s.log.Info().Str("event", "back_ends_changed").Int("instances", s.directory.Size()).Bool("all", changes.All).
-		Int("listed", len(changes.Listed)).Int("leaving", leaving).Int("unlisted", len(changes.Gone)).
+	s.log.Info().Str("event", "back_ends_changed").Int("instances", s.directory.Size()).Bool("all", changes.Snapshot).
+		Int("listed", len(changes.Listed)).Int("leaving", leaving).Int("unlisted", len(changes.Removed)).
 		Bool("incomplete", incomplete).Int("ended", len(ended)).Strs("gone", ended[:min(mostNamed, len(ended))]).Dur("age", s.knowledgeAge()).Msg("")
 }
 
--- a/internal/gateway/livenesswatch.go
+++ b/internal/gateway/livenesswatch.go
@@ -43,7 +43,7 @@
 
 // watchLiveness watches a stream's send until stop.
 func (s *Server) watchLiveness(ctx context.Context, r *request, instance backend.Instance, end context.CancelFunc) *livenessWatch {
-	usual := s.directory.UsualFirst(instance.Service)
+	usual := s.directory.MeanTimeToFirstEvent(instance.Service)
 	watch := &livenessWatch{
 		pool: s.pool, instance: instance, end: end, began: time.Now(),
 		idleTimeout: min(idleTimeoutMost, max(idleTimeoutLeast, idleTimeoutFactor*usual)),
@@ -62,7 +62,7 @@
 		return
 	}
 	switch {
-	case w.pool.Gone(ctx, w.instance, w.idleTimeout):
+	case w.pool.IsDown(ctx, w.instance, w.idleTimeout):
 		w.gone.Store(true)
 		w.end()
 	case ctx.Err() != nil:
@@ -76,7 +76,7 @@
 
 // heard notes that the instance sent something.
 func (w *livenessWatch) heard(now time.Time) {
-	w.pool.Heard(now, w.instance.ID)
+	w.pool.RecordActivity(now, w.instance.ID)
 	w.heardAt.Store(int64(now.Sub(w.began)))
 	w.timer.Reset(w.idleTimeout)
 }
@@ -89,7 +89,7 @@
 	case w == nil || failure == nil:
 	case w.gone.Load():
 		failure.Reason = "the instance's machine does not answer"
-		failure.Gone = true
+		failure.InstanceDown = true
 	case w.silent.Load():
 		failure.Reason = "the connection to the instance fell silent"
 	}
@@ -99,5 +99,5 @@
 // address refuses connections or is another instance's, or its machine does not answer. One
 // lost opening packet does not say so.
 func (s *Server) isGone(ctx context.Context, instance backend.Instance, failure *backend.Failure) bool {
-	return failure.Gone || failure.Unreachable && s.pool.Gone(ctx, instance, 0)
+	return failure.InstanceDown || failure.Unreachable && s.pool.IsDown(ctx, instance, 0)
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -26,7 +26,7 @@
 		Name: "call", Host: "apps.test", Prefix: "/call/", Kind: route.Safe, Attempts: 2, Timeout: 3 * time.Second,
 		Targets: []route.Target{{Service: "apps", Weight: 1}},
 	}}, []route.Service{{Name: "apps", ConnectionLimit: 100}}, route.Limits{}))
-	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{
+	s.directory.ApplyChanges(time.Now(), backend.Changes{Snapshot: true, Listed: []backend.Instance{{
 		ID: "i", Service: "apps", Zone: "z", Address: strings.TrimPrefix(instance.URL, "http://"), Slots: 2,
 	}}}, false)
 }
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -32,8 +32,8 @@
 // refusalIfBarred returns the refusal of a request that no zone may serve, or nil. It is asked
 // before the request is counted anywhere: it will not run.
 func (s *Server) refusalIfBarred(r *request) *refusal {
-	bar := s.directory.Barred(time.Now(), backend.Demand{Service: r.service.Name, Homes: r.homes()})
-	if bar == backend.NotBarred {
+	bar := s.directory.Restriction(time.Now(), backend.Demand{Service: r.service.Name, Homes: r.homes()})
+	if bar == backend.NotRestricted {
 		return nil
 	}
 	return refuseBarred(bar)
@@ -44,17 +44,17 @@
 	if found {
 		return nil
 	}
-	bar := s.directory.Barred(time.Now(), demand)
-	if bar == backend.NotBarred {
+	bar := s.directory.Restriction(time.Now(), demand)
+	if bar == backend.NotRestricted {
 		return nil
 	}
-	return &backend.Failure{Verdict: verdict.NotRun, Bar: bar, Reason: bar.String()}
+	return &backend.Failure{Verdict: verdict.NotRun, Restriction: bar, Reason: bar.String()}
 }
 
 // refuseBarred refuses a request that no zone may serve; the code says that it has not run.
-func refuseBarred(bar backend.Bar) *refusal {
+func refuseBarred(bar backend.Restriction) *refusal {
 	code := verdict.CodeEvacuated
-	if bar == backend.BarredByHomes {
+	if bar == backend.RestrictedByHomes {
 		code = verdict.CodeNoHome
 	}
 	return refuseFor(code, barredRetry, bar.String())
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -44,7 +44,7 @@
 	})
 	s.ConfigurationChanged(table)
 	address := strings.TrimPrefix(instance.URL, "http://")
-	s.InstancesChanged(backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "apps", Address: address, Zone: "a", Slots: 4}}}, false)
+	s.InstancesChanged(backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "i", Service: "apps", Address: address, Zone: "a", Slots: 4}}}, false)
 	return s, arrived
 }
 
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -52,8 +52,8 @@
 func (s *Server) failed(ctx context.Context, r *request, failure *backend.Failure, ran bool) *refusal {
 	late := ctx.Err() != nil || !time.Now().Before(r.deadline)
 	switch {
-	case !ran && failure.Bar != backend.NotBarred:
-		return refuseBarred(failure.Bar)
+	case !ran && failure.Restriction != backend.NotRestricted:
+		return refuseBarred(failure.Restriction)
 	case !ran && failure.Verdict == verdict.NotRun:
 		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, leastFullRetry)), failure.Reason)
 	case late:
@@ -136,18 +136,18 @@
 func (s *Server) observe(r *request, sent *attempt, firstAt time.Time, events int) {
 	now := time.Now()
 	seen := backend.Observation{
-		Kind: r.route.Name, Missing: sent.choice.Missing, Load: sent.choice.Load, Took: now.Sub(sent.sentAt), Events: events,
+		Kind: r.route.Name, UncachedTokens: sent.choice.UncachedTokens, Load: sent.choice.Load, Duration: now.Sub(sent.sentAt), Events: events,
 	}
 	if events > 0 {
-		seen.First = firstAt.Sub(sent.sentAt)
+		seen.TimeToFirstEvent = firstAt.Sub(sent.sentAt)
 	}
 	s.directory.Observe(now, sent.choice, seen)
-	s.tenantServed(now, r, seen.Took)
-	s.programTurnEnded(now, r, seen.Took)
+	s.tenantServed(now, r, seen.Duration)
+	s.programTurnEnded(now, r, seen.Duration)
 }
 
 // endedWith tells an instance's own failures from its answers.
-func endedWith(status int) backend.Ended {
+func endedWith(status int) backend.Outcome {
 	if status >= http.StatusInternalServerError {
 		return backend.Failed
 	}
--- a/internal/gateway/programs_test.go
+++ b/internal/gateway/programs_test.go
@@ -26,7 +26,7 @@
 	}
 	llm := route.Service{Name: "llm", Generates: true}
 	s.ConfigurationChanged(route.NewTable(2, []*route.Route{served}, []route.Service{llm}, route.Limits{}))
-	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Slots: 2}}}, false)
+	s.directory.ApplyChanges(time.Now(), backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Slots: 2}}}, false)
 	now := time.Now()
 	r := &request{
 		id: "r", arrived: now, deadline: now.Add(3 * time.Second), first: true, route: served, table: s.table.Load(), service: llm,
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -119,16 +119,16 @@
 }
 
 // promptParts reads ID:TOKENS pairs separated by commas.
-func promptParts(value string) []backend.Part {
+func promptParts(value string) []backend.PromptPart {
 	if value == "" {
 		return nil
 	}
-	var parts []backend.Part
+	var parts []backend.PromptPart
 	for field := range strings.SplitSeq(value, ",") {
 		id, tokens, _ := strings.Cut(strings.TrimSpace(field), ":")
 		count, err := strconv.Atoi(tokens)
 		if err == nil {
-			parts = append(parts, backend.Part{ID: id, Tokens: count})
+			parts = append(parts, backend.PromptPart{ID: id, Tokens: count})
 		}
 	}
 	return parts
@@ -187,7 +187,7 @@
 		header[s.dialect.Priority] = []string{r.enginePriority(time.Now())}
 	}
 	return backend.Call{
-		Method: r.method, Target: r.target, Host: r.host, Header: header, Body: r.body, IDHeader: s.dialect.RequestID, Fresh: r.lostAnswer,
+		Method: r.method, Target: r.target, Host: r.host, Header: header, Body: r.body, IDHeader: s.dialect.RequestID, NewConnection: r.lostAnswer,
 	}
 }
 
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -91,8 +91,8 @@
 		}
 		last = failure
 		refused++
-		if demand.Only != "" && s.isGone(ctx, choice.Instance, failure) {
-			demand.Only = ""
+		if demand.Pinned != "" && s.isGone(ctx, choice.Instance, failure) {
+			demand.Pinned = ""
 		}
 		demand.Exclude = append(demand.Exclude, choice.Instance.ID)
 	}
@@ -119,9 +119,9 @@
 	r.outcome.sends++
 	r.outcome.instance, r.outcome.born = choice.Instance.ID, choice.Instance.Born
 	r.outcome.load, r.outcome.cost, r.outcome.candidates = choice.Load, choice.Cost, choice.Candidates
-	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missing = choice.Expected, choice.ReportsAge.Milliseconds(), choice.Missing
+	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missing = choice.ExpectedLoad, choice.ReportAge.Milliseconds(), choice.UncachedTokens
 	s.metrics.sent(choice.Instance.Zone)
-	s.metrics.missing.Add(float64(choice.Missing))
+	s.metrics.missing.Add(float64(choice.UncachedTokens))
 	sendCtx, release := context.WithCancel(ctx)
 	var watch *livenessWatch
 	if r.route.Kind == route.Streaming {
@@ -140,15 +140,15 @@
 		signSeen()
 	}
 	if failure != nil {
-		s.directory.GivenUp(time.Now(), choice)
+		s.directory.Abandon(time.Now(), choice)
 		release()
 		watch.explain(failure)
 		s.directory.EndFailed(time.Now(), choice, endedBy(ctx, failure))
 		s.logSend(r, choice, failure)
 		return nil, failure
 	}
-	s.pool.Heard(time.Now(), choice.Instance.ID)
-	s.directory.Arrived(time.Now(), choice)
+	s.pool.RecordActivity(time.Now(), choice.Instance.ID)
+	s.directory.ResponseStarted(time.Now(), choice)
 	if failure := s.instanceRefusal(choice, answer); failure != nil {
 		release()
 		s.logSend(r, choice, failure)
@@ -159,7 +159,7 @@
 
 // endedBy returns what a send without an answer tells of its instance. A gateway that slept
 // past its permit, or a caller that left, tells nothing of it.
-func endedBy(ctx context.Context, failure *backend.Failure) backend.Ended {
+func endedBy(ctx context.Context, failure *backend.Failure) backend.Outcome {
 	switch {
 	case failure.NotSent:
 		return backend.NotSent
@@ -186,7 +186,7 @@
 	answer.Finish()
 	s.directory.End(time.Now(), choice, backend.Full)
 	return &backend.Failure{
-		Verdict: verdict.NotRun, Unreachable: misdirected, Gone: misdirected,
+		Verdict: verdict.NotRun, Unreachable: misdirected, InstanceDown: misdirected,
 		Reason: "the instance refused with status " + strconv.Itoa(status),
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -139,7 +139,7 @@
 		held: newHeldMemory(options.HeldBytes), unreadLimit: unreadLimit,
 	}
 	s.pool = backend.NewPool(s.metrics.connections.Inc)
-	s.pool.UseFar(s.directory.OtherRegion)
+	s.pool.UseOtherRegion(s.directory.IsOtherRegion)
 	s.directory.UseConnections(s.pool)
 	s.metrics.countHeld(s.held.held)
 	s.metrics.countEvacuated(s.directory.EvacuatedInFlight)
--- a/internal/gateway/slowreader_test.go
+++ b/internal/gateway/slowreader_test.go
@@ -62,7 +62,7 @@
 		Name: "turn", Host: "apps.test", Prefix: "/turn/", Kind: route.Streaming, Attempts: 1, Timeout: 20 * time.Second,
 		Targets: []route.Target{{Service: "llm", Weight: 1}},
 	}}, []route.Service{{Name: "llm", Generates: true, TokensPerEvent: 1}}, route.Limits{}))
-	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{
+	s.directory.ApplyChanges(time.Now(), backend.Changes{Snapshot: true, Listed: []backend.Instance{{
 		ID: "i", Service: "llm", Zone: "z", Address: engine, Slots: 4000,
 	}}}, false)
 	return s, withSmallSockets(t, s.handle), began
@@ -117,7 +117,7 @@
 		<-time.After(4 * s.unreadLimit)
 		panic(http.ErrAbortHandler)
 	})
-	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Address: broken, Slots: 1}}}, false)
+	s.directory.ApplyChanges(time.Now(), backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Address: broken, Slots: 1}}}, false)
 	answer, err := http.ReadResponse(bufio.NewReader(askSlowly(t, address, 1)), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, answer.StatusCode)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -31,7 +31,7 @@
 		Targets: []route.Target{{Service: "apps", Weight: 1}},
 	}}, []route.Service{{Name: "apps"}}, route.Limits{})
 	s.ConfigurationChanged(table)
-	s.InstancesChanged(backend.Changes{All: true}, false)
+	s.InstancesChanged(backend.Changes{Snapshot: true}, false)
 	return s
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -28,7 +28,7 @@
 	cell       *quorum.Client
 	everywhere bool
 	// parts are the parts of the prompt.
-	parts []backend.Part
+	parts []backend.PromptPart
 	// ancestors are the turns before this one, where another cell keeps them.
 	ancestors []ledger.Turn
 	durable   bool
@@ -122,15 +122,15 @@
 
 // cached returns what instances hold of the turn's prompt as reported by the program's
 // earlier turns.
-func (t *turn) cached() []backend.Cached {
+func (t *turn) cached() []backend.CachedPrompt {
 	if t.reservation == nil {
 		return nil
 	}
-	var held []backend.Cached
+	var held []backend.CachedPrompt
 	for _, prompt := range t.reservation.Cached {
 		for index, part := range t.parts {
 			if part.ID == prompt.Part {
-				held = append(held, backend.Cached{Instance: prompt.Instance, Born: prompt.Born, Part: index, Tokens: prompt.Tokens})
+				held = append(held, backend.CachedPrompt{Instance: prompt.Instance, Born: prompt.Born, PartIndex: index, Tokens: prompt.Tokens})
 			}
 		}
 	}
@@ -141,10 +141,10 @@
 // another send where the route allows that.
 func (s *Server) relay(ctx context.Context, w http.ResponseWriter, t *turn) *backend.Failure {
 	demand := backend.Demand{
-		Service: t.service.Name, Generates: t.service.Generates, Parts: t.parts, Cached: t.cached(),
+		Service: t.service.Name, Generates: t.service.Generates, PromptParts: t.parts, CachedPrompts: t.cached(),
 		Homes:    t.homes(),
 		Priority: t.route.Priority, ByExpectedEnd: s.placesByExpectedEnd(t.request),
-		ReportsAge: s.options.ReportsAge && s.loadControlled(t.request),
+		DiscountOldReports: s.options.ReportsAge && s.loadControlled(t.request),
 	}
 	if t.reservation != nil {
 		demand.Preferred = t.reservation.Instance
@@ -170,7 +170,7 @@
 		// The same instance goes on if it can: another one would be one more that runs the
 		// request, and the route says how many may.
 		ran.add(t.outcome.instance)
-		demand.Preferred, demand.Only = t.outcome.instance, ran.only(t.events == eventsBefore)
+		demand.Preferred, demand.Pinned = t.outcome.instance, ran.only(t.events == eventsBefore)
 		s.log.Info().Str("event", "stream_resumed").Str("id", t.id).Str("instance", t.outcome.instance).
 			Str("last_event", t.lastEvent).Int("events", t.events).Str("reason", failure.Reason).Msg("")
 	}
--- a/internal/instancespeed/board.go
+++ b/internal/instancespeed/aggregator.go
@@ -24,8 +24,8 @@
 
 // Entry is what a report tells of one instance.
 type Entry struct {
-	Key     Key
-	Figures Figures
+	Key        Key
+	Statistics Statistics
 }
 
 // record is what is known of one instance; all figures are of the moment at.
@@ -33,7 +33,7 @@
 	at time.Time
 	// own are this gateway's observations, zone those of the own zone's gateways with them, all
 	// those of other zones as well.
-	own, zone, all Figures
+	own, zone, all Statistics
 }
 
 // advance brings the figures to a later moment.
@@ -47,7 +47,7 @@
 }
 
 // add counts figures of a source, or takes them off with a factor of -1.
-func (r *record) add(source tally.Source, figures Figures, factor float64) {
+func (r *record) add(source tally.Source, figures Statistics, factor float64) {
 	if source.Zone == "" {
 		r.zone = r.zone.plus(figures, factor)
 	}
@@ -56,7 +56,7 @@
 
 // told is what a source said of an instance, and when.
 type told struct {
-	figures Figures
+	figures Statistics
 	at      time.Time
 }
 
@@ -67,10 +67,10 @@
 	told    map[Key]told
 }
 
-// Board holds the observations of this gateway and what others told of theirs. Each entry of a
+// Aggregator holds the observations of this gateway and what others told of theirs. Each entry of a
 // source replaces what that source said of the instance before, so lost and repeated reports
 // leave no error behind; figures fade with their age. It is not safe for concurrent use.
-type Board struct {
+type Aggregator struct {
 	records   map[Key]*record
 	reporters map[tally.Source]*reporter
 	// surveyedAt is when all instances were looked at last. ownNews and zoneNews are those to
@@ -81,13 +81,13 @@
 	nextOwn, nextZone int
 }
 
-// NewBoard returns a board that knows nothing.
-func NewBoard() *Board {
-	return &Board{records: map[Key]*record{}, reporters: map[tally.Source]*reporter{}}
+// NewAggregator returns a board that knows nothing.
+func NewAggregator() *Aggregator {
+	return &Aggregator{records: map[Key]*record{}, reporters: map[tally.Source]*reporter{}}
 }
 
 // of returns the record of an instance at the given time.
-func (b *Board) of(now time.Time, key Key) *record {
+func (b *Aggregator) of(now time.Time, key Key) *record {
 	known := b.records[key]
 	if known == nil {
 		known = &record{at: now}
@@ -99,7 +99,7 @@
 }
 
 // observe adds own figures of an instance.
-func (b *Board) observe(now time.Time, key Key, figures Figures) {
+func (b *Aggregator) observe(now time.Time, key Key, figures Statistics) {
 	known := b.of(now, key)
 	known.own = known.own.plus(figures, 1)
 	known.add(tally.Source{}, figures, 1)
@@ -107,36 +107,40 @@
 
 // Observe adds a request that was so much slower than usual, as a logarithm, and counts as so
 // many.
-func (b *Board) Observe(now time.Time, key Key, slower, weight float64) {
+func (b *Aggregator) Observe(now time.Time, key Key, slower, weight float64) {
 	slower = max(-mostSlower, min(mostSlower, slower))
-	seen := Evidence{Weight: weight, Sum: weight * slower}
-	b.observe(now, key, Figures{Stable: seen, Recent: seen})
+	seen := WeightedSum{Weight: weight, Sum: weight * slower}
+	b.observe(now, key, Statistics{Stable: seen, Recent: seen})
 }
 
-// Overdue adds a request that has taken at least so much longer than usual and goes on. It
+// ObserveOverdue adds a request that has taken at least so much longer than usual and goes on. It
 // counts for the moment only: the request's end will tell what it was.
-func (b *Board) Overdue(now time.Time, key Key, slower, weight float64) {
+func (b *Aggregator) ObserveOverdue(now time.Time, key Key, slower, weight float64) {
 	slower = max(-mostSlower, min(mostSlower, slower))
-	b.observe(now, key, Figures{Recent: Evidence{Weight: weight, Sum: weight * slower}})
+	b.observe(now, key, Statistics{Recent: WeightedSum{Weight: weight, Sum: weight * slower}})
 }
 
-// Failed adds a failure of an instance, Refused a refusal for lack of room.
-func (b *Board) Failed(now time.Time, key Key)  { b.observe(now, key, Figures{Failed: 1}) }
-func (b *Board) Refused(now time.Time, key Key) { b.observe(now, key, Figures{Refused: 1}) }
+// ObserveFailure adds a failure of an instance, Refused a refusal for lack of room.
+func (b *Aggregator) ObserveFailure(now time.Time, key Key) {
+	b.observe(now, key, Statistics{Failed: 1})
+}
+func (b *Aggregator) ObserveRefusal(now time.Time, key Key) {
+	b.observe(now, key, Statistics{Refused: 1})
+}
 
-// View returns what is believed of an instance.
-func (b *Board) View(now time.Time, key Key) View {
+// Estimate returns what is believed of an instance.
+func (b *Aggregator) Estimate(now time.Time, key Key) Estimate {
 	known := b.records[key]
 	if known == nil {
-		return View{}
+		return Estimate{}
 	}
 	known.advance(now)
 	return known.all.view()
 }
 
-// Take applies what a source told. Reports that are older than what it said before are passed
+// ApplyReport applies what a source told. Reports that are older than what it said before are passed
 // over.
-func (b *Board) Take(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
+func (b *Aggregator) ApplyReport(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
 	b.expire(now)
 	known := b.reporters[source]
 	if known == nil {
@@ -154,13 +158,13 @@
 		}
 		record := b.of(now, entry.Key)
 		b.takeBack(now, source, known, entry.Key)
-		record.add(source, entry.Figures, 1)
-		known.told[entry.Key] = told{figures: entry.Figures, at: now}
+		record.add(source, entry.Statistics, 1)
+		known.told[entry.Key] = told{figures: entry.Statistics, at: now}
 	}
 }
 
 // takeBack takes off what a source said of an instance.
-func (b *Board) takeBack(now time.Time, source tally.Source, known *reporter, key Key) {
+func (b *Aggregator) takeBack(now time.Time, source tally.Source, known *reporter, key Key) {
 	if before, counted := known.told[key]; counted {
 		b.of(now, key).add(source, before.figures.after(now.Sub(before.at)), -1)
 		delete(known.told, key)
@@ -168,7 +172,7 @@
 }
 
 // expire drops the sources that have been silent for too long.
-func (b *Board) expire(now time.Time) {
+func (b *Aggregator) expire(now time.Time) {
 	for source, known := range b.reporters {
 		if now.Sub(known.heardAt) <= sourceLife {
 			continue
@@ -180,22 +184,22 @@
 	}
 }
 
-// Own returns at most so many entries of this gateway's observations, Zone of those of the own
+// LocalEntries returns at most so many entries of this gateway's observations, Zone of those of the own
 // zone together: the instances first that are most unlike their stable speed just now or fail,
 // then others in turn.
-func (b *Board) Own(now time.Time, most int) []Entry {
+func (b *Aggregator) LocalEntries(now time.Time, most int) []Entry {
 	b.survey(now, most)
-	return b.entries(now, most, b.ownNews, &b.nextOwn, func(known *record) Figures { return known.own })
+	return b.entries(now, most, b.ownNews, &b.nextOwn, func(known *record) Statistics { return known.own })
 }
 
-// Zone returns entries of the own zone; see Own.
-func (b *Board) Zone(now time.Time, most int) []Entry {
+// ZoneEntries returns entries of the own zone; see Own.
+func (b *Aggregator) ZoneEntries(now time.Time, most int) []Entry {
 	b.survey(now, most)
-	return b.entries(now, most, b.zoneNews, &b.nextZone, func(known *record) Figures { return known.zone })
+	return b.entries(now, most, b.zoneNews, &b.nextZone, func(known *record) Statistics { return known.zone })
 }
 
 // entries returns the entries of the given instances and then of others in turn.
-func (b *Board) entries(now time.Time, most int, first []Key, next *int, of func(*record) Figures) []Entry {
+func (b *Aggregator) entries(now time.Time, most int, first []Key, next *int, of func(*record) Statistics) []Entry {
 	entries := make([]Entry, 0, most)
 	add := func(key Key) {
 		known := b.records[key]
@@ -204,7 +208,7 @@
 		}
 		known.advance(now)
 		if figures := of(known); figures.isTold() {
-			entries = append(entries, Entry{Key: key, Figures: figures})
+			entries = append(entries, Entry{Key: key, Statistics: figures})
 		}
 	}
 	for _, key := range first {
@@ -221,19 +225,19 @@
 }
 
 // isTold reports whether figures say anything.
-func (f Figures) isTold() bool {
+func (f Statistics) isTold() bool {
 	return f.Stable.Weight >= leastWeight || f.Recent.Weight+f.Failed+f.Refused >= leastWeight
 }
 
 // news returns how much others would change their belief by what is new in the figures.
-func (f Figures) news() float64 {
+func (f Statistics) news() float64 {
 	seen := f.view()
-	return max(seen.Momentary, -seen.Momentary) + seen.Failing + seen.Refusing
+	return max(seen.Transient, -seen.Transient) + seen.FailureRate + seen.RefusalRate
 }
 
 // survey forgets what no longer counts, and finds the instances to tell of first, unless it did
 // so moments ago.
-func (b *Board) survey(now time.Time, most int) {
+func (b *Aggregator) survey(now time.Time, most int) {
 	if now.Sub(b.surveyedAt) < surveyInterval {
 		return
 	}
@@ -249,12 +253,12 @@
 		b.order = append(b.order, key)
 	}
 	slices.Sort(b.order)
-	b.ownNews = b.foremost(most/newsShare, func(known *record) Figures { return known.own })
-	b.zoneNews = b.foremost(most/newsShare, func(known *record) Figures { return known.zone })
+	b.ownNews = b.foremost(most/newsShare, func(known *record) Statistics { return known.own })
+	b.zoneNews = b.foremost(most/newsShare, func(known *record) Statistics { return known.zone })
 }
 
 // isHeld reports whether any source's figures of an instance are still counted.
-func (b *Board) isHeld(key Key) bool {
+func (b *Aggregator) isHeld(key Key) bool {
 	for _, known := range b.reporters {
 		if _, held := known.told[key]; held {
 			return true
@@ -264,7 +268,7 @@
 }
 
 // foremost returns the instances with most news, at most so many.
-func (b *Board) foremost(most int, of func(*record) Figures) []Key {
+func (b *Aggregator) foremost(most int, of func(*record) Statistics) []Key {
 	type ranked struct {
 		key  Key
 		news float64
@@ -289,6 +293,6 @@
 // leastNews is the change of a belief, as a logarithm or a share, that is told first.
 const leastNews = 0.1
 
-// Known returns how many instances there are observations of, Reporters how many sources count.
-func (b *Board) Known() int     { return len(b.records) }
-func (b *Board) Reporters() int { return len(b.reporters) }
+// InstanceCount returns how many instances there are observations of, Reporters how many sources count.
+func (b *Aggregator) InstanceCount() int { return len(b.records) }
+func (b *Aggregator) SourceCount() int   { return len(b.reporters) }
--- a/internal/instancespeed/board_test.go
+++ b/internal/instancespeed/aggregator_test.go
@@ -15,8 +15,8 @@
 var start = time.Unix(1000, 0)
 
 // observed is a board with so many observations of one instance.
-func observed(key Key, count int, slower float64) *Board {
-	b := NewBoard()
+func observed(key Key, count int, slower float64) *Aggregator {
+	b := NewAggregator()
 	for range count {
 		b.Observe(start, key, slower, 1)
 	}
@@ -29,36 +29,36 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const sources = 3
 		entry := func(number int) []Entry {
-			return []Entry{{Key: 1, Figures: Figures{Stable: Evidence{Weight: float64(number + 1), Sum: float64(number%5) - 2}}}}
+			return []Entry{{Key: 1, Statistics: Statistics{Stable: WeightedSum{Weight: float64(number + 1), Sum: float64(number%5) - 2}}}}
 		}
-		noisy, clean := NewBoard(), NewBoard()
+		noisy, clean := NewAggregator(), NewAggregator()
 		newest := make([]int, sources)
 		for _, sent := range rapid.SliceOfN(rapid.IntRange(0, sources*20-1), 1, 60).Draw(t, "reports") {
 			source, number := sent%sources, sent/sources
 			newest[source] = max(newest[source], number)
-			noisy.Take(start, tally.Source{Gateway: fmt.Sprint(source)}, tally.Version{Number: uint64(number)}, entry(number))
+			noisy.ApplyReport(start, tally.Source{Gateway: fmt.Sprint(source)}, tally.Version{Number: uint64(number)}, entry(number))
 		}
 		for source, number := range newest {
 			version := tally.Version{Number: uint64(number)}
-			noisy.Take(start, tally.Source{Gateway: fmt.Sprint(source)}, version, entry(number))
-			clean.Take(start, tally.Source{Gateway: fmt.Sprint(source)}, version, entry(number))
+			noisy.ApplyReport(start, tally.Source{Gateway: fmt.Sprint(source)}, version, entry(number))
+			clean.ApplyReport(start, tally.Source{Gateway: fmt.Sprint(source)}, version, entry(number))
 		}
-		require.InDelta(t, clean.View(start, 1).Stable, noisy.View(start, 1).Stable, 1e-9)
+		require.InDelta(t, clean.Estimate(start, 1).Stable, noisy.Estimate(start, 1).Stable, 1e-9)
 	})
 }
 
 func TestASilentGatewayStopsCounting(t *testing.T) {
-	b := NewBoard()
-	b.Take(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 50, 1).Own(start, 24))
-	require.Greater(t, b.View(start, 1).Stable, 0.5)
+	b := NewAggregator()
+	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 50, 1).LocalEntries(start, 24))
+	require.Greater(t, b.Estimate(start, 1).Stable, 0.5)
 	later := start.Add(sourceLife + time.Second)
-	b.Take(later, tally.Source{Gateway: "b"}, tally.Version{Number: 1}, nil)
-	require.InDelta(t, 0, b.View(later, 1).Stable, 1e-9)
+	b.ApplyReport(later, tally.Source{Gateway: "b"}, tally.Version{Number: 1}, nil)
+	require.InDelta(t, 0, b.Estimate(later, 1).Stable, 1e-9)
 }
 
 func TestAnInstanceThatStartsAgainIsKnownByNothing(t *testing.T) {
 	b := observed(KeyOf("e1", "a:1", 5), 100, 1.5)
-	require.Zero(t, b.View(start, KeyOf("e1", "a:1", 6)))
+	require.Zero(t, b.Estimate(start, KeyOf("e1", "a:1", 6)))
 	require.NotEqual(t, KeyOf("e1", "a:1", 0), KeyOf("e1", "a:2", 0), "without a start the address tells lives apart")
 }
 
@@ -68,26 +68,26 @@
 	for range 60 {
 		b.Observe(now, 1, 2, 1)
 	}
-	slow := b.View(now, 1)
-	require.Greater(t, slow.Momentary, 0.7)
-	later := b.View(now.Add(8*time.Second), 1)
-	require.Less(t, later.Momentary, slow.Momentary/4, "it is tried again")
+	slow := b.Estimate(now, 1)
+	require.Greater(t, slow.Transient, 0.7)
+	later := b.Estimate(now.Add(8*time.Second), 1)
+	require.Less(t, later.Transient, slow.Transient/4, "it is tried again")
 	require.InDelta(t, slow.Stable, later.Stable, 0.1, "the stable speed stays known")
 }
 
 func TestAReportIsBounded(t *testing.T) {
 	const most, largest = 24, 300
-	b := NewBoard()
+	b := NewAggregator()
 	for key := range Key(10_000) {
 		b.Observe(start, key, float64(key%5)-2, 1)
 	}
-	require.LessOrEqual(t, len(Encode(b.Own(start, most))), largest)
-	require.LessOrEqual(t, len(Encode(b.Zone(start, most))), largest)
+	require.LessOrEqual(t, len(Encode(b.LocalEntries(start, most))), largest)
+	require.LessOrEqual(t, len(Encode(b.ZoneEntries(start, most))), largest)
 }
 
 func TestWhatChangedIsToldFirstAndAllInTurn(t *testing.T) {
 	const instances, most = 90, 24
-	b := NewBoard()
+	b := NewAggregator()
 	for key := range Key(instances) {
 		b.Observe(start, key, 0, 1)
 	}
@@ -97,7 +97,7 @@
 	now := start.Add(time.Second)
 	told := map[Key]bool{}
 	for range 1 + instances/(most-most/newsShare) {
-		entries := b.Own(now, most)
+		entries := b.LocalEntries(now, most)
 		require.Equal(t, Key(70), entries[0].Key)
 		for _, entry := range entries {
 			told[entry.Key] = true
@@ -110,22 +110,22 @@
 // counted twice there.
 func TestAZoneTellsItsOwnObservationsOnly(t *testing.T) {
 	b := observed(1, 4, 1)
-	b.Take(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 4, 1).Own(start, 24))
-	b.Take(start, tally.Source{Zone: "z"}, tally.Version{Number: 1}, observed(1, 50, 1).Own(start, 24))
-	require.InDelta(t, 8, b.Zone(start, 24)[0].Figures.Stable.Weight, 0.3)
+	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 4, 1).LocalEntries(start, 24))
+	b.ApplyReport(start, tally.Source{Zone: "z"}, tally.Version{Number: 1}, observed(1, 50, 1).LocalEntries(start, 24))
+	require.InDelta(t, 8, b.ZoneEntries(start, 24)[0].Statistics.Stable.Weight, 0.3)
 }
 
 func TestEntriesTravelWhole(t *testing.T) {
-	sent := []Entry{{Key: KeyOf("e1", "a:1", 7), Figures: Figures{
-		Stable: Evidence{Weight: 300, Sum: -150}, Recent: Evidence{Weight: 7, Sum: 14}, Failed: 2, Refused: 0.1,
+	sent := []Entry{{Key: KeyOf("e1", "a:1", 7), Statistics: Statistics{
+		Stable: WeightedSum{Weight: 300, Sum: -150}, Recent: WeightedSum{Weight: 7, Sum: 14}, Failed: 2, Refused: 0.1,
 	}}}
 	read, err := Decode(Encode(sent))
 	require.NoError(t, err)
 	require.Equal(t, sent[0].Key, read[0].Key)
-	require.InEpsilon(t, 300, read[0].Figures.Stable.Weight, 0.05)
-	require.InEpsilon(t, -0.5, read[0].Figures.Stable.mean(0, 0), 0.05)
-	require.InEpsilon(t, 2, read[0].Figures.Recent.mean(0, 0), 0.05)
-	require.InEpsilon(t, 2, read[0].Figures.Failed, 0.05)
+	require.InEpsilon(t, 300, read[0].Statistics.Stable.Weight, 0.05)
+	require.InEpsilon(t, -0.5, read[0].Statistics.Stable.mean(0, 0), 0.05)
+	require.InEpsilon(t, 2, read[0].Statistics.Recent.mean(0, 0), 0.05)
+	require.InEpsilon(t, 2, read[0].Statistics.Failed, 0.05)
 	_, err = Decode(Encode(sent)[1:])
 	require.ErrorIs(t, err, errLength)
 }
@@ -133,7 +133,7 @@
 // A gateway without processor time sees all instances slow: that is not told of the instances.
 func TestASlowGatewayDoesNotMakeInstancesLookSlow(t *testing.T) {
 	m := NewModel()
-	b := NewBoard()
+	b := NewAggregator()
 	now := start
 	send := func(count int, delay float64) {
 		for i := range count {
@@ -143,12 +143,12 @@
 			if key == 3 {
 				speed = 4
 			}
-			slower := m.Observe(now, Sample{Kind: "k", Unit: time.Duration(delay * speed * float64(10*time.Millisecond)), Took: time.Second, Slots: 6, Believed: b.View(now, key)})
+			slower := m.Observe(now, Sample{Kind: "k", UnitTime: time.Duration(delay * speed * float64(10*time.Millisecond)), Duration: time.Second, Slots: 6, Estimate: b.Estimate(now, key)})
 			b.Observe(now, key, slower, 1)
 		}
 	}
 	send(400, 1)
-	require.Greater(t, b.View(now, 3).Slower()-b.View(now, 4).Slower(), math.Log(2), "one instance is slow")
+	require.Greater(t, b.Estimate(now, 3).LogSlowdown()-b.Estimate(now, 4).LogSlowdown(), math.Log(2), "one instance is slow")
 	send(60, 5)
-	require.Less(t, math.Abs(b.View(now, 4).Slower()), math.Log(2), "the gateway is slow, not the instance")
+	require.Less(t, math.Abs(b.Estimate(now, 4).LogSlowdown()), math.Log(2), "the gateway is slow, not the instance")
 }
--- a/internal/instancespeed/model.go
+++ b/internal/instancespeed/model.go
@@ -29,12 +29,12 @@
 type Sample struct {
 	// Kind groups requests whose work is alike.
 	Kind string
-	// Unit is the time of a unit of its work, Took of all of it.
-	Unit, Took time.Duration
+	// UnitTime is the time of a unit of its work, Duration of all of it.
+	UnitTime, Duration time.Duration
 	// Load is how many other requests its instance had, of so many Slots.
 	Load, Slots int
-	// Believed is how much slower than usual the instance was believed to be.
-	Believed View
+	// Estimate is how much slower than usual the instance was believed to be.
+	Estimate Estimate
 }
 
 // Model is what a gateway knows of the requests to one service apart from the speed of the
@@ -44,7 +44,7 @@
 type Model struct {
 	usual  map[string]*average
 	growth [loadSteps + 1]float64
-	own    Evidence
+	own    WeightedSum
 	ownAt  time.Time
 	// load and time are the means of the requests at the instance and of a request's time (ms)
 	// at usual speed; spread and common are the variance of the load and its covariance with
@@ -58,17 +58,17 @@
 // Observe adds a request and returns how much slower than usual its instance was, as a
 // logarithm.
 func (m *Model) Observe(now time.Time, seen Sample) float64 {
-	value := math.Log(max(leastUnitMS, milliseconds(seen.Unit)))
+	value := math.Log(max(leastUnitMS, milliseconds(seen.UnitTime)))
 	usual := m.usualOf(seen.Kind)
 	growth := &m.growth[min(loadSteps, seen.Load*loadSteps/max(1, seen.Slots))]
-	believed := seen.Believed.Slower()
+	believed := seen.Estimate.LogSlowdown()
 	slower := value - usual.or(value-believed) - *growth
 	innovation := max(-mostSlower, min(mostSlower, slower-believed))
 	delay := m.ownDelay(now)
 	usual.add(usual.or(value-believed)+innovation, slowGain)
 	*growth += slowGain * innovation
-	m.own = m.own.plus(Evidence{Weight: 1, Sum: innovation}, 1)
-	m.observeTime(milliseconds(seen.Took)/math.Exp(believed), float64(min(seen.Load, seen.Slots)))
+	m.own = m.own.plus(WeightedSum{Weight: 1, Sum: innovation}, 1)
+	m.observeTime(milliseconds(seen.Duration)/math.Exp(believed), float64(min(seen.Load, seen.Slots)))
 	return slower - delay
 }
 
@@ -92,7 +92,7 @@
 func (m *Model) ownDelay(now time.Time) float64 {
 	if elapsed := now.Sub(m.ownAt); elapsed > 0 {
 		fade := math.Exp2(-elapsed.Seconds() / ownHalfLife.Seconds())
-		m.own = Evidence{Weight: m.own.Weight * fade, Sum: m.own.Sum * fade}
+		m.own = WeightedSum{Weight: m.own.Weight * fade, Sum: m.own.Sum * fade}
 		m.ownAt = now
 	}
 	return m.own.mean(0, ownPrior)
@@ -112,11 +112,11 @@
 // mostTimes bounds the time of one request by the mean.
 const mostTimes = 8
 
-// Times returns how long a request takes at usual speed on an instance without others, and by
+// ServiceTime returns how long a request takes at usual speed on an instance without others, and by
 // how much longer for each one there, both in milliseconds; ok is false before that is known.
 // Until enough was seen, a request is taken to need twice as long on an instance whose slots are
 // all in use.
-func (m *Model) Times(slots int) (base, growth float64, ok bool) {
+func (m *Model) ServiceTime(slots int) (base, growth float64, ok bool) {
 	if m.time.count == 0 {
 		return 0, 0, false
 	}
--- a/internal/instancespeed/figures.go
+++ b/internal/instancespeed/statistics.go
@@ -46,74 +46,74 @@
 	mostSlower = 2.5
 )
 
-// Evidence is a number of observations, the older the less, and the sum of how much slower than
+// WeightedSum is a number of observations, the older the less, and the sum of how much slower than
 // usual they were, as logarithms.
-type Evidence struct{ Weight, Sum float64 }
+type WeightedSum struct{ Weight, Sum float64 }
 
 // plus returns the sum of two, the other one counted by the given factor.
-func (e Evidence) plus(other Evidence, factor float64) Evidence {
-	return Evidence{Weight: max(0, e.Weight+factor*other.Weight), Sum: e.Sum + factor*other.Sum}
+func (e WeightedSum) plus(other WeightedSum, factor float64) WeightedSum {
+	return WeightedSum{Weight: max(0, e.Weight+factor*other.Weight), Sum: e.Sum + factor*other.Sum}
 }
 
 // mean returns the mean of the observations and of prior ones that stand for the given value.
-func (e Evidence) mean(value, prior float64) float64 {
+func (e WeightedSum) mean(value, prior float64) float64 {
 	return (e.Sum + prior*value) / (e.Weight + prior)
 }
 
-// Figures are what was observed of an instance.
-type Figures struct {
+// Statistics are what was observed of an instance.
+type Statistics struct {
 	// Stable counts for long, Recent for moments.
-	Stable, Recent Evidence
+	Stable, Recent WeightedSum
 	// Failed and Refused are the failures and the refusals for lack of room of late.
 	Failed, Refused float64
 }
 
 // after returns the figures after some time without observations.
-func (f Figures) after(elapsed time.Duration) Figures {
+func (f Statistics) after(elapsed time.Duration) Statistics {
 	if elapsed <= 0 {
 		return f
 	}
 	stable := math.Exp2(-elapsed.Seconds() / stableHalfLife.Seconds())
 	recent := math.Exp2(-elapsed.Seconds() / recentHalfLife.Seconds())
-	return Figures{
-		Stable: Evidence{Weight: f.Stable.Weight * stable, Sum: f.Stable.Sum * stable},
-		Recent: Evidence{Weight: f.Recent.Weight * recent, Sum: f.Recent.Sum * recent},
+	return Statistics{
+		Stable: WeightedSum{Weight: f.Stable.Weight * stable, Sum: f.Stable.Sum * stable},
+		Recent: WeightedSum{Weight: f.Recent.Weight * recent, Sum: f.Recent.Sum * recent},
 		Failed: f.Failed * recent, Refused: f.Refused * recent,
 	}
 }
 
 // plus returns the sum of two figures of one moment, the other ones counted by the given factor.
-func (f Figures) plus(other Figures, factor float64) Figures {
-	return Figures{
+func (f Statistics) plus(other Statistics, factor float64) Statistics {
+	return Statistics{
 		Stable: f.Stable.plus(other.Stable, factor), Recent: f.Recent.plus(other.Recent, factor),
 		Failed: max(0, f.Failed+factor*other.Failed), Refused: max(0, f.Refused+factor*other.Refused),
 	}
 }
 
-// View is what is believed of an instance.
-type View struct {
-	// Stable is how much slower than usual the instance works, Momentary how much slower than
+// Estimate is what is believed of an instance.
+type Estimate struct {
+	// Stable is how much slower than usual the instance works, Transient how much slower than
 	// that it is at the moment; both as logarithms.
-	Stable, Momentary float64
-	// Failing and Refusing are the shares of requests that it fails, and refuses for lack of
+	Stable, Transient float64
+	// FailureRate and RefusalRate are the shares of requests that it fails, and refuses for lack of
 	// room.
-	Failing, Refusing float64
+	FailureRate, RefusalRate float64
 	// Weight is the number of observations that Stable rests on, the older the less.
 	Weight float64
 }
 
 // view returns the belief that figures give.
-func (f Figures) view() View {
+func (f Statistics) view() Estimate {
 	stable := f.Stable.mean(0, stablePrior)
 	asked := f.Recent.Weight + f.Failed + f.Refused + recentPrior
-	return View{
-		Stable: stable, Momentary: f.Recent.mean(stable, recentPrior) - stable,
-		Failing: f.Failed / asked, Refusing: f.Refused / asked, Weight: f.Stable.Weight,
+	return Estimate{
+		Stable: stable, Transient: f.Recent.mean(stable, recentPrior) - stable,
+		FailureRate: f.Failed / asked, RefusalRate: f.Refused / asked, Weight: f.Stable.Weight,
 	}
 }
 
-// Slower returns how much slower than usual the instance is now, as a logarithm.
-func (v View) Slower() float64 { return v.Stable + v.Momentary }
+// LogSlowdown returns how much slower than usual the instance is now, as a logarithm.
+func (v Estimate) LogSlowdown() float64 { return v.Stable + v.Transient }
 
-// Factor returns how many times as long as usual a request takes at the instance now.
-func (v View) Factor() float64 { return math.Exp(v.Slower()) }
+// Slowdown returns how many times as long as usual a request takes at the instance now.
+func (v Estimate) Slowdown() float64 { return math.Exp(v.LogSlowdown()) }
--- a/internal/instancespeed/wire.go
+++ b/internal/instancespeed/wire.go
@@ -28,7 +28,7 @@
 		var key [8]byte
 		binary.BigEndian.PutUint64(key[:], uint64(entry.Key))
 		encoded = append(encoded, key[8-keyBytes:]...)
-		f := entry.Figures
+		f := entry.Statistics
 		encoded = append(encoded, weightByte(f.Stable.Weight), meanByte(f.Stable), weightByte(f.Recent.Weight), meanByte(f.Recent))
 		encoded = append(encoded, weightByte(f.Failed), weightByte(f.Refused))
 	}
@@ -45,7 +45,7 @@
 		var key [8]byte
 		copy(key[8-keyBytes:], encoded)
 		figures := encoded[keyBytes:entryBytes]
-		entries = append(entries, Entry{Key: Key(binary.BigEndian.Uint64(key[:])), Figures: Figures{
+		entries = append(entries, Entry{Key: Key(binary.BigEndian.Uint64(key[:])), Statistics: Statistics{
 			Stable: evidenceOf(figures[0], figures[1]), Recent: evidenceOf(figures[2], figures[3]),
 			Failed: weightOf(figures[4]), Refused: weightOf(figures[5]),
 		}})
@@ -67,7 +67,7 @@
 	return math.Exp2((float64(encoded) - weightZero) / weightSteps)
 }
 
-func meanByte(evidence Evidence) byte {
+func meanByte(evidence WeightedSum) byte {
 	mean := evidence.mean(0, 0)
 	if math.IsNaN(mean) || math.IsInf(mean, 0) {
 		mean = 0
@@ -75,7 +75,7 @@
 	return byte(int8(max(math.MinInt8, min(math.MaxInt8, math.Round(meanSteps*mean)))))
 }
 
-func evidenceOf(weight, mean byte) Evidence {
+func evidenceOf(weight, mean byte) WeightedSum {
 	count := weightOf(weight)
-	return Evidence{Weight: count, Sum: count * float64(int8(mean)) / meanSteps}
+	return WeightedSum{Weight: count, Sum: count * float64(int8(mean)) / meanSteps}
 }
--- a/internal/overload/instances_test.go
+++ b/internal/overload/instances_test.go
@@ -18,11 +18,11 @@
 type ask struct {
 	work     time.Duration
 	deadline time.Time
-	done     func(result backend.Ended, ran bool)
+	done     func(result backend.Outcome, ran bool)
 }
 
 // send exchanges the request with an instance.
-func (r *replayed) send(c *call, choice backend.Choice, done func(backend.Ended, bool)) {
+func (r *replayed) send(c *call, choice backend.Choice, done func(backend.Outcome, bool)) {
 	r.of(c.kind).Asks++
 	var machine *instanceModel
 	for _, known := range r.machines {
@@ -31,7 +31,7 @@
 		}
 	}
 	machine.asks++
-	asked := &ask{work: c.work, deadline: c.deadline, done: func(result backend.Ended, ran bool) {
+	asked := &ask{work: c.work, deadline: c.deadline, done: func(result backend.Outcome, ran bool) {
 		r.after(hop, func() { done(result, ran) })
 	}}
 	switch {
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -177,8 +177,8 @@
 	}
 	for i := range played.Gateways {
 		directory := backend.NewDirectory(fmt.Sprint(i % played.Zones))
-		directory.SeedWith(fmt.Sprint("g", i))
-		directory.Change(start, backend.Changes{All: true, Listed: listed}, false)
+		directory.SetSeed(fmt.Sprint("g", i))
+		directory.ApplyChanges(start, backend.Changes{Snapshot: true, Listed: listed}, false)
 		r.gateways = append(r.gateways, &gatewayModel{directory: directory, policy: newPolicy()})
 	}
 	for _, changed := range played.Changes {
@@ -215,7 +215,7 @@
 		loads := gateway.directory.Loads(r.now)
 		for j, other := range r.gateways {
 			if i != j {
-				other.directory.RemoteLoads(r.now, backend.LoadSource{Gateway: fmt.Sprint(i)}, loads)
+				other.directory.SetRemoteLoads(r.now, backend.LoadSource{Gateway: fmt.Sprint(i)}, loads)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 			r.wait(c, gateway, id, arrived)
 			return
 		}
-		r.send(c, choice, func(result backend.Ended, ran bool) {
+		r.send(c, choice, func(result backend.Outcome, ran bool) {
 			if result == backend.Failed || result == backend.Unreachable {
 				gateway.directory.EndFailed(r.now, choice, result)
 			} else {
@@ -335,7 +335,7 @@
 			switch {
 			case result == backend.Answered:
 				gateway.directory.Observe(r.now, choice, backend.Observation{
-					Kind: c.kind, Took: r.now.Sub(choice.PickedAt), First: r.now.Sub(choice.PickedAt), Events: 1,
+					Kind: c.kind, Duration: r.now.Sub(choice.PickedAt), TimeToFirstEvent: r.now.Sub(choice.PickedAt), Events: 1,
 				})
 				gateway.policy.taken(r.now, id)
 				gateway.turnEnded(r.now, c, choice)
