--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -41,7 +41,7 @@
 		if now.Sub(from)%every < step {
 			id := fmt.Sprint(kind.Route, now.UnixNano())
 			gateways[0].Decide(now, admission.Request{ID: id, Kind: kind}, admission.Load{Slots: many})
-			gateways[0].Began(now, admission.Beginning{Kind: kind, Program: id, Left: 2 * time.Second})
+			gateways[0].ProgramStarted(now, admission.ProgramStart{Kind: kind, Program: id, TimeLeft: 2 * time.Second})
 			for turn := range turns + 1 {
 				next = append(next, due{at: now.Add(turnTook + time.Duration(turn)*turnGap), program: id, number: turn})
 			}
@@ -53,13 +53,13 @@
 				continue
 			}
 			gateway := gateways[each.number%len(gateways)]
-			gateway.TurnEnded(now, admission.Turn{Kind: kind, Program: each.program, First: each.number == 0, Took: turnTook, Share: 0.1})
+			gateway.TurnCompleted(now, admission.Turn{Kind: kind, Program: each.program, First: each.number == 0, SlotTime: turnTook, Utilization: 0.1})
 		}
 		next = left
 		for i, said := range gateways {
 			for j, heard := range gateways {
 				if i != j {
-					heard.Take(now, tally.Source{Gateway: fmt.Sprint(i)}, said.Figures(now))
+					heard.ReplaceReport(now, tally.Source{Gateway: fmt.Sprint(i)}, said.Figures(now))
 				}
 			}
 		}
@@ -69,13 +69,13 @@
 
 // decide asks about one program.
 func decide(c *admission.Controller, now time.Time, kind admission.Kind, load admission.Load) admission.Decision {
-	return c.Decide(now, admission.Request{ID: "r", Kind: kind, Objective: now.Add(20 * time.Millisecond), Deadline: now.Add(3 * time.Second)}, load)
+	return c.Decide(now, admission.Request{ID: "r", Kind: kind, HoldUntil: now.Add(20 * time.Millisecond), Deadline: now.Add(3 * time.Second)}, load)
 }
 
 func TestAllProgramsBeginBeforeTheirKindIsKnown(t *testing.T) {
 	decision := decide(admission.NewController(), start, usual, admission.Load{Slots: 10, Busy: 10})
 	require.Equal(t, admission.Admit, decision.Verdict)
-	require.False(t, decision.Known)
+	require.False(t, decision.HasForecast)
 }
 
 // At a steady rate, as many slots are in use as programs begin in the slot time of one.
@@ -98,8 +98,8 @@
 	require.Equal(t, admission.Admit, decide(c, end, urgent, admission.Load{Slots: 100, Busy: 10}).Verdict)
 	full := decide(c, end, urgent, admission.Load{Slots: 5, Busy: 5000})
 	require.Equal(t, admission.Refuse, full.Verdict)
-	require.Positive(t, full.Wait)
-	require.LessOrEqual(t, full.Wait, 1500*time.Millisecond, "a new attempt needs time")
+	require.Positive(t, full.RetryAfter)
+	require.LessOrEqual(t, full.RetryAfter, 1500*time.Millisecond, "a new attempt needs time")
 }
 
 func TestLessUrgentProgramsLeaveWhatUrgentOnesWillAsk(t *testing.T) {
@@ -110,7 +110,7 @@
 	before, after := decide(c, end, urgent, load), decide(c, end, usual, load)
 	require.Zero(t, before.Reserved)
 	require.Positive(t, after.Reserved)
-	require.Less(t, after.Chance, before.Chance)
+	require.Less(t, after.Probability, before.Probability)
 }
 
 func TestShortProgramsLeaveOnlyWhatIsAskedWhileTheyAreUnderWay(t *testing.T) {
@@ -141,7 +141,7 @@
 	end := play(urgent, start, 20, 4, 6*time.Second, all)
 	play(urgent, start, 20, 4, 6*time.Second, cut)
 	for range 20 {
-		cut.TurnLost(end, urgent)
+		cut.TurnFailed(end, urgent)
 	}
 	load := admission.Load{Slots: many}
 	require.Greater(t, decide(cut, end, urgent, load).Committed, decide(all, end, urgent, load).Committed)
@@ -151,7 +151,7 @@
 	busy, other := admission.NewController(), admission.NewController()
 	end := play(urgent, start, 20, 4, 6*time.Second, busy)
 	for range 2 {
-		other.Take(end, tally.Source{Gateway: "busy"}, busy.Figures(end)) // twice is once
+		other.ReplaceReport(end, tally.Source{Gateway: "busy"}, busy.Figures(end)) // twice is once
 	}
 	heard := decide(other, end, urgent, admission.Load{Slots: many})
 	require.InEpsilon(t, decide(busy, end, urgent, admission.Load{Slots: many}).Committed, heard.Committed, 0.05)
@@ -163,7 +163,7 @@
 	end := play(urgent, start, 20, 4, 3*time.Second, c)
 	play(usual, end, 20, 8, 3*time.Second, c)
 	for share := range 8 {
-		c.TurnEnded(end, admission.Turn{Kind: usual, First: true, Took: turnTook, Share: float64(share) / 8})
+		c.TurnCompleted(end, admission.Turn{Kind: usual, First: true, SlotTime: turnTook, Utilization: float64(share) / 8})
 	}
 	encoded, err := admission.Encode(c.Figures(end))
 	require.NoError(t, err)
@@ -180,7 +180,7 @@
 			c := admission.NewController()
 			end := play(urgent, start, perS, turns, 4*time.Second, c)
 			decide(c, end, urgent, admission.Load{Slots: slots, Busy: slots})
-			return decide(c, end, urgent, admission.Load{Slots: slots, Busy: min(slots, busy)}).Chance
+			return decide(c, end, urgent, admission.Load{Slots: slots, Busy: min(slots, busy)}).Probability
 		}
 		if chance(max(less, more)) > chance(min(less, more)) {
 			t.Fatal("a fuller service admits more")
@@ -199,7 +199,7 @@
 			end := play(urgent, start, 20, 4, 6*time.Second, c)
 			admitted := func(number int, excess float64) int {
 				request := admission.Request{
-					ID: fmt.Sprint(round, "/", number), Kind: urgent, Objective: end, Deadline: end.Add(3 * time.Second), Excess: excess,
+					ID: fmt.Sprint(round, "/", number), Kind: urgent, HoldUntil: end, Deadline: end.Add(3 * time.Second), Excess: excess,
 				}
 				if c.Decide(end, request, admission.Load{Slots: slots, Busy: 9}).Verdict == admission.Admit {
 					return 1
@@ -236,9 +236,9 @@
 		}
 		took := time.Duration(float64(turnTook) * (1 + 2*share))
 		decide(c, now, urgent, admission.Load{Slots: slowedSlots})
-		c.Began(now, admission.Beginning{Kind: urgent, Program: id, Left: left, Share: share, Usual: true})
+		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: id, TimeLeft: left, Utilization: share, RetryFree: true})
 		for turn := range 5 {
-			c.TurnEnded(now.Add(time.Duration(turn)*(took+pause)), admission.Turn{Kind: urgent, Program: id, First: turn == 0, Took: took, Share: share})
+			c.TurnCompleted(now.Add(time.Duration(turn)*(took+pause)), admission.Turn{Kind: urgent, Program: id, First: turn == 0, SlotTime: took, Utilization: share})
 		}
 		now = now.Add(5 * (took + pause))
 	}
@@ -249,7 +249,7 @@
 
 // roomAt returns the slots that a gateway lets programs use.
 func roomAt(c *admission.Controller, now time.Time) float64 {
-	return c.Decide(now, admission.Request{ID: "r", Kind: urgent, Left: 2 * time.Second}, admission.Load{Slots: slowedSlots}).Room
+	return c.Decide(now, admission.Request{ID: "r", Kind: urgent, TimeLeft: 2 * time.Second}, admission.Load{Slots: slowedSlots}).SlotLimit
 }
 
 // Instances on which requests slow each other down have room for fewer programs than slots, and
@@ -267,7 +267,7 @@
 	now := from
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		c.TurnEnded(now, admission.Turn{Kind: urgent, Program: "of another gateway", Took: took, Share: share})
+		c.TurnCompleted(now, admission.Turn{Kind: urgent, Program: "of another gateway", SlotTime: took, Utilization: share})
 	}
 	return now
 }
@@ -277,7 +277,7 @@
 func TestRoomGrowsByStepsUntilTheSlowdownIsKnown(t *testing.T) {
 	const slots = 800
 	room := func(c *admission.Controller, now time.Time) float64 {
-		return c.Decide(now, admission.Request{ID: "r", Kind: urgent, Left: 2 * time.Second}, admission.Load{Slots: slots}).Room
+		return c.Decide(now, admission.Request{ID: "r", Kind: urgent, TimeLeft: 2 * time.Second}, admission.Load{Slots: slots}).SlotLimit
 	}
 	c := admission.NewController()
 	end := play(urgent, start, 20, 4, 6*time.Second, c)
@@ -299,12 +299,12 @@
 		now = now.Add(100 * time.Millisecond)
 		program := fmt.Sprint("p", i)
 		share := 0.45 + 0.1*float64(i/50)
-		c.Began(now, admission.Beginning{Kind: urgent, Program: program, Share: share})
-		c.TurnEnded(now, admission.Turn{Kind: urgent, Program: program, First: true, Took: 2 * turnTook, Share: share})
+		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: program, Utilization: share})
+		c.TurnCompleted(now, admission.Turn{Kind: urgent, Program: program, First: true, SlotTime: 2 * turnTook, Utilization: share})
 	}
-	decision := c.Decide(now, admission.Request{ID: "r", Kind: urgent, Left: 2 * time.Second}, admission.Load{Slots: slots, Busy: slots / 2})
-	require.True(t, decision.Known)
-	require.LessOrEqual(t, decision.Room, 0.4*slots)
+	decision := c.Decide(now, admission.Request{ID: "r", Kind: urgent, TimeLeft: 2 * time.Second}, admission.Load{Slots: slots, Busy: slots / 2})
+	require.True(t, decision.HasForecast)
+	require.LessOrEqual(t, decision.SlotLimit, 0.4*slots)
 }
 
 // After a start of all gateways in a burst, programs that nobody had forecast unfolded onto each
@@ -318,14 +318,14 @@
 			now := start.Add(time.Duration(i) * 5 * time.Millisecond)
 			for _, kind := range []admission.Kind{urgent, usual} {
 				decision := c.Decide(now, admission.Request{ID: fmt.Sprint(i), Kind: kind, Deadline: now.Add(3 * time.Second)}, admission.Load{Slots: 100, Busy: busy})
-				require.False(t, decision.Known)
+				require.False(t, decision.HasForecast)
 				if decision.Verdict != admission.Admit {
-					require.True(t, decision.Short())
-					require.Positive(t, decision.Wait)
+					require.True(t, decision.Throttled())
+					require.Positive(t, decision.RetryAfter)
 					continue
 				}
 				begun[kind]++
-				c.Began(now, admission.Beginning{Kind: kind, Program: fmt.Sprint(kind.Route, i), Share: float64(busy) / 100})
+				c.ProgramStarted(now, admission.ProgramStart{Kind: kind, Program: fmt.Sprint(kind.Route, i), Utilization: float64(busy) / 100})
 			}
 		}
 		return begun
@@ -356,10 +356,10 @@
 		}
 		for _, c := range seeing {
 			c.Decide(at, admission.Request{ID: at.String(), Kind: urgent}, admission.Load{Slots: many})
-			c.Began(at, admission.Beginning{Kind: urgent, Program: at.String(), Left: 2 * time.Second})
+			c.ProgramStarted(at, admission.ProgramStart{Kind: urgent, Program: at.String(), TimeLeft: 2 * time.Second})
 			for turn := range turns + 1 {
 				if began := at.Add(-turnTook - time.Duration(turn)*turnGap); !began.Before(start) {
-					c.TurnEnded(at, admission.Turn{Kind: urgent, Program: began.String(), First: turn == 0, Took: turnTook, Share: 0.1})
+					c.TurnCompleted(at, admission.Turn{Kind: urgent, Program: began.String(), First: turn == 0, SlotTime: turnTook, Utilization: 0.1})
 				}
 			}
 		}
@@ -376,18 +376,18 @@
 	load := admission.Load{Slots: 1000}
 	known := before.Decide(end, admission.Request{ID: "a", Kind: urgent}, load)
 	after := admission.NewController()
-	require.False(t, after.Decide(end, admission.Request{ID: "a", Kind: urgent}, load).Known)
-	after.Recall(end, before.Lasting(end), 2*time.Second)
+	require.False(t, after.Decide(end, admission.Request{ID: "a", Kind: urgent}, load).HasForecast)
+	after.Restore(end, before.Snapshot(end), 2*time.Second)
 	recalled := after.Decide(end, admission.Request{ID: "a", Kind: urgent}, load)
-	require.True(t, recalled.Known)
+	require.True(t, recalled.HasForecast)
 	require.InEpsilon(t, known.Program.Turns, recalled.Program.Turns, 0.1)
-	require.InEpsilon(t, known.Program.Turn, recalled.Program.Turn, 0.05)
-	require.InEpsilon(t, known.Program.Stage, recalled.Program.Stage, 0.05)
+	require.InEpsilon(t, known.Program.SlotTime, recalled.Program.SlotTime, 0.05)
+	require.InEpsilon(t, known.Program.StageTime, recalled.Program.StageTime, 0.05)
 	require.Positive(t, known.Committed)
 	require.Zero(t, recalled.Committed)
 	fresh := admission.NewController()
-	fresh.Recall(end, after.Lasting(end), 0)
-	require.True(t, fresh.Decide(end, admission.Request{ID: "a", Kind: urgent}, load).Known, "what was recalled lasts as well")
+	fresh.Restore(end, after.Snapshot(end), 0)
+	require.True(t, fresh.Decide(end, admission.Request{ID: "a", Kind: urgent}, load).HasForecast, "what was recalled lasts as well")
 }
 
 // What was learned long ago says nothing of the programs of today.
@@ -395,8 +395,8 @@
 	before := admission.NewController()
 	end := play(urgent, start, 20, 4, 20*time.Second, before)
 	after := admission.NewController()
-	after.Recall(end, before.Lasting(end), time.Hour)
-	require.False(t, after.Decide(end, admission.Request{ID: "a", Kind: urgent}, admission.Load{Slots: 1000}).Known)
+	after.Restore(end, before.Snapshot(end), time.Hour)
+	require.False(t, after.Decide(end, admission.Request{ID: "a", Kind: urgent}, admission.Load{Slots: 1000}).HasForecast)
 }
 
 // The time that a program's tools take does not grow with the load of instances, so its turns may take
@@ -413,7 +413,7 @@
 	before, end := slowed(900*time.Millisecond, 0)
 	after := admission.NewController()
 	unknown := roomAt(after, end)
-	after.Recall(end, before.Lasting(end), 2*time.Second)
+	after.Restore(end, before.Snapshot(end), 2*time.Second)
 	require.Less(t, unknown, roomAt(before, end))
 	require.InEpsilon(t, roomAt(before, end), roomAt(after, end), 0.05)
 }
@@ -427,7 +427,7 @@
 		load := admission.Load{Slots: 60, Busy: 9}
 		for number := range beyondLimit {
 			id := fmt.Sprint("beyond", number)
-			c.Withdrawn(end, urgent, c.Decide(end, admission.Request{ID: id, Kind: urgent, Deadline: end}, load))
+			c.ProgramWithdrawn(end, urgent, c.Decide(end, admission.Request{ID: id, Kind: urgent, Deadline: end}, load))
 		}
 		return c.Decide(end, admission.Request{ID: "less urgent", Kind: usual, Deadline: end}, load)
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -116,20 +116,20 @@
 	}
 }
 
-// Beginning is a program's first request that an instance took.
-type Beginning struct {
+// ProgramStart is a program's first request that an instance took.
+type ProgramStart struct {
 	Kind    Kind
 	Program string
-	// Left is the time that the program has; 0 if it names none.
-	Left time.Duration
-	// Share is the part of the service's slots in use.
-	Share float64
-	// Usual is what the decision said.
-	Usual bool
+	// TimeLeft is the time that the program has; 0 if it names none.
+	TimeLeft time.Duration
+	// Utilization is the part of the service's slots in use.
+	Utilization float64
+	// RetryFree is what the decision said.
+	RetryFree bool
 }
 
-// Began notes that a program began.
-func (c *Controller) Began(now time.Time, program Beginning) {
+// ProgramStarted notes that a program began.
+func (c *Controller) ProgramStarted(now time.Time, program ProgramStart) {
 	name := groupOf(program.Kind)
 	known := c.kind(now, name)
 	known.sums[begun]++
@@ -139,8 +139,8 @@
 		c.programs, c.previous = map[string]beginning{}, c.programs
 	}
 	service := c.service(now, name.service())
-	service.noteShare(now, program.Share)
-	c.programs[program.Program] = beginning{at: now, left: program.Left, slowdown: service.present(), usual: program.Usual}
+	service.noteShare(now, program.Utilization)
+	c.programs[program.Program] = beginning{at: now, left: program.TimeLeft, slowdown: service.present(), usual: program.RetryFree}
 }
 
 // Turn is a request that was answered whole.
@@ -149,19 +149,19 @@
 	Program string
 	// First says that it is the first of its program.
 	First bool
-	// Took is its slot time.
-	Took time.Duration
-	// Share is the part of the service's slots in use.
-	Share float64
+	// SlotTime is its slot time.
+	SlotTime time.Duration
+	// Utilization is the part of the service's slots in use.
+	Utilization float64
 }
 
-// TurnEnded learns from a request that was answered whole.
-func (c *Controller) TurnEnded(now time.Time, turn Turn) {
+// TurnCompleted learns from a request that was answered whole.
+func (c *Controller) TurnCompleted(now time.Time, turn Turn) {
 	name := groupOf(turn.Kind)
 	known := c.kind(now, name)
 	service := c.service(now, name.service())
-	took := milliseconds(turn.Took)
-	service.noteShare(now, turn.Share)
+	took := milliseconds(turn.SlotTime)
+	service.noteShare(now, turn.Utilization)
 	if now.Sub(service.since) >= warmUp {
 		service.slowdown.observe(service.share, took)
 	}
@@ -172,7 +172,7 @@
 	}
 	known.sums[later] += known.estimate.begunWithin(now.Sub(service.since))
 	if began, remembered := c.beginning(turn.Program); remembered {
-		age := max(0, now.Sub(began.at)-turn.Took/2)
+		age := max(0, now.Sub(began.at)-turn.SlotTime/2)
 		known.sums.learnAge(began, age, service.present())
 	}
 }
@@ -230,9 +230,9 @@
 	s.shareAt = now
 }
 
-// TurnLost notes that a later request of a program got no whole answer: the program may have
+// TurnFailed notes that a later request of a program got no whole answer: the program may have
 // ended before its time, which must not teach that its kind is short.
-func (c *Controller) TurnLost(now time.Time, kind Kind) {
+func (c *Controller) TurnFailed(now time.Time, kind Kind) {
 	known := c.kind(now, groupOf(kind))
 	known.sums[begun] = max(0, known.sums[begun]-cutShare)
 }
--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -11,10 +11,10 @@
 type Request struct {
 	ID   string
 	Kind Kind
-	// Objective is until when it may be held, Deadline when its caller leaves.
-	Objective, Deadline time.Time
-	// Left is the time that its program has, below 0 if it is late; 0 if it names none.
-	Left time.Duration
+	// HoldUntil is until when it may be held, Deadline when its caller leaves.
+	HoldUntil, Deadline time.Time
+	// TimeLeft is the time that its program has, below 0 if it is late; 0 if it names none.
+	TimeLeft time.Duration
 	// Excess is how far above its fair share the program's tenant is; 0 within it.
 	Excess float64
 }
@@ -52,48 +52,48 @@
 // Decision is what becomes of a program's first request, with what it rests on.
 type Decision struct {
 	Verdict Verdict
-	// Known is false while too little was learned to forecast: then programs begin while few slots
+	// HasForecast is false while too little was learned to forecast: then programs begin while few slots
 	// are in use.
-	Known bool
-	// Wait is when to decide again, or when a refused caller should come back.
-	Wait time.Duration
-	// Room is how many slots may be in use. Committed is what programs under way are expected
+	HasForecast bool
+	// RetryAfter is when to decide again, or when a refused caller should come back.
+	RetryAfter time.Duration
+	// SlotLimit is how many slots may be in use. Committed is what programs under way are expected
 	// to use at the moment that leaves the least room, Reserved what more urgent programs are
 	// expected to ask by then. Tightest is when that moment comes.
-	Room, Committed, Reserved float64
-	Tightest                  time.Duration
+	SlotLimit, Committed, Reserved float64
+	PeakAfter                  time.Duration
 	// Program is what one program of the kind is expected to ask for, Factor the slots in use
 	// for each one that is expected.
-	Program Expected
-	Factor  float64
-	// Asked is how many programs as urgent as this one ask to begin a second, over all
-	// gateways, Chance the part of them that may begin.
-	Asked, Chance float64
-	// Usual says that programs are known to begin as they ask, and did for as long as callers
+	Program ProgramEstimate
+	Calibration  float64
+	// ArrivalRate is how many programs as urgent as this one ask to begin a second, over all
+	// gateways, Probability the part of them that may begin.
+	ArrivalRate, Probability float64
+	// RetryFree says that programs are known to begin as they ask, and did for as long as callers
 	// that were refused may come back.
-	Usual bool
-	// Hopeless says that the program is refused because it cannot be in time any more, and
+	RetryFree bool
+	// Infeasible says that the program is refused because it cannot be in time any more, and
 	// others could.
-	Hopeless bool
+	Infeasible bool
 	// Sources is how many other gateways and zones the figures include.
 	Sources int
 	// asked is what the program counts as asking.
 	asked float64
 }
 
-// Expected is what one program of a kind is expected to ask for.
-type Expected struct {
+// ProgramEstimate is what one program of a kind is expected to ask for.
+type ProgramEstimate struct {
 	// Turns is how many turns follow its first one, Turn the slot time of each.
 	Turns float64
-	Turn  time.Duration
-	// Stage is the mean time of each of its two stages, Stretch how many times as long as without
+	SlotTime  time.Duration
+	// StageTime is the mean time of each of its two stages, Stretch how many times as long as without
 	// other load its turns may take; 0 if that is not known.
-	Stage   time.Duration
-	Stretch float64
+	StageTime   time.Duration
+	MaxSlowdown float64
 }
 
-// Short reports whether not all programs of the rank may begin.
-func (d Decision) Short() bool { return d.Chance < 1 }
+// Throttled reports whether not all programs of the rank may begin.
+func (d Decision) Throttled() bool { return d.Probability < 1 }
 
 // askedOnce is what one first request adds to the rate of them.
 const askedOnce = float64(time.Second) / float64(askedTime)
@@ -128,7 +128,7 @@
 	service := c.service(now, name.service())
 	own.sums[asked] += askedOnce
 	view := c.view(now, name.service(), service)
-	decision := Decision{Verdict: Admit, Chance: 1, Sources: c.others.Sources(now), asked: askedOnce}
+	decision := Decision{Verdict: Admit, Probability: 1, Sources: c.others.Sources(now), asked: askedOnce}
 	if load.Slots == 0 {
 		own.mayComeBack(request.Deadline)
 		return decision
@@ -139,39 +139,39 @@
 	if view.learned() {
 		service.calibrate(now, view.expected(0), load)
 		forecast := forecast{view: view, factor: service.factor, busy: float64(load.Busy), rank: name.rank()}
-		decision.Room = float64(load.Slots) * view.bearable(name.rank(), program, request.Left != 0)
+		decision.SlotLimit = float64(load.Slots) * view.bearable(name.rank(), program, request.TimeLeft != 0)
 		decision.weigh(forecast, program, reports)
-		expected = min(decision.expected(forecast, program, reports), program.slack(request.Left))
+		expected = min(decision.expected(forecast, program, reports), program.slack(request.TimeLeft))
 	} else {
 		decision.explore(view, name, load)
 		expected = decision.learning(reports)
 	}
 	// Who was refused before this gateway started, or first heard of the kind, is not known here.
-	if decision.Short() || !decision.Known || own.refusedUntil.IsZero() {
+	if decision.Throttled() || !decision.HasForecast || own.refusedUntil.IsZero() {
 		own.mayComeBack(request.Deadline)
 	}
-	decision.Usual = !now.Before(own.refusedUntil)
-	if decision.Short() {
+	decision.RetryFree = !now.Before(own.refusedUntil)
+	if decision.Throttled() {
 		// The chance is that of a program within its share. Counted whole, those that have less
 		// would keep room free that nobody gets.
 		own.withdraw(askedOnce - askedOnce*request.fairPart())
 		decision.asked = askedOnce * request.fairPart()
 	}
 	switch {
-	case decision.Short() && program.hopeless(request.Left):
+	case decision.Throttled() && program.hopeless(request.TimeLeft):
 		// Admitted, it would make another one late. It asks for nothing that can be given.
 		own.withdraw(decision.asked)
-		decision.Hopeless = true
+		decision.Infeasible = true
 		decision.refuse(now, request, longestWait)
-	case uniform(request.ID, now) >= request.fairChance(decision.Chance):
+	case uniform(request.ID, now) >= request.fairChance(decision.Probability):
 		decision.refuse(now, request, max(reports, expected))
 	}
 	return decision
 }
 
-// Withdrawn notes that a program does not begin though it was admitted, as one beyond its tenant's
+// ProgramWithdrawn notes that a program does not begin though it was admitted, as one beyond its tenant's
 // limit: it asks for no slots.
-func (c *Controller) Withdrawn(now time.Time, kind Kind, decision Decision) {
+func (c *Controller) ProgramWithdrawn(now time.Time, kind Kind, decision Decision) {
 	c.kind(now, groupOf(kind)).withdraw(decision.asked)
 }
 
@@ -183,44 +183,44 @@
 // while few are in use, the more urgent ones first. Each is taken to ask for one slot in a second.
 // Where even those are taken, one program of a kind at a time begins, or none would ever be known.
 func (d *Decision) explore(view view, name group, load Load) {
-	d.Room = unknownShare * float64(load.Slots)
+	d.SlotLimit = unknownShare * float64(load.Slots)
 	d.Committed = float64(load.Busy)
 	d.Reserved = view.asked(0, name.rank()-1)
-	d.Asked = view.asked(name.rank(), name.rank())
-	free := max(0, d.Room-d.Committed) - d.Reserved
+	d.ArrivalRate = view.asked(name.rank(), name.rank())
+	free := max(0, d.SlotLimit-d.Committed) - d.Reserved
 	switch {
 	case d.Reserved == 0 && view.of(name).sums.underWay() < 1:
-		d.Chance = 1
-	case free < d.Asked:
-		d.Chance = max(0, free) / d.Asked
+		d.Probability = 1
+	case free < d.ArrivalRate:
+		d.Probability = max(0, free) / d.ArrivalRate
 	}
 }
 
 // learning returns when a program that may not begin before its service is known may begin.
 func (d *Decision) learning(reports time.Duration) time.Duration {
-	if d.Chance == 0 {
+	if d.Probability == 0 {
 		return warmUp
 	}
-	return min(warmUp, time.Duration(float64(reports)/d.Chance))
+	return min(warmUp, time.Duration(float64(reports)/d.Probability))
 }
 
 // weigh sets what of the forecast decides.
 func (d *Decision) weigh(forecast forecast, program estimate, reports time.Duration) {
-	d.Known = true
-	d.Asked = forecast.view.asked(forecast.rank, forecast.rank)
-	tightest := forecast.tightest(d.Room, reports.Seconds(), program)
-	d.Committed, d.Reserved, d.Chance = tightest.committed, tightest.reserved, tightest.chance
-	d.Tightest, d.Factor = seconds(tightest.after), forecast.factor
-	d.Program = Expected{Turns: program.turns, Turn: seconds(program.turn), Stage: seconds(program.stage), Stretch: program.stretch}
+	d.HasForecast = true
+	d.ArrivalRate = forecast.view.asked(forecast.rank, forecast.rank)
+	tightest := forecast.tightest(d.SlotLimit, reports.Seconds(), program)
+	d.Committed, d.Reserved, d.Probability = tightest.committed, tightest.reserved, tightest.chance
+	d.PeakAfter, d.Calibration = seconds(tightest.after), forecast.factor
+	d.Program = ProgramEstimate{Turns: program.turns, SlotTime: seconds(program.turn), StageTime: seconds(program.stage), MaxSlowdown: program.stretch}
 }
 
 // expected returns when a program that may not begin now may begin: once other figures lead to
 // another decision, or there is room at all.
 func (d *Decision) expected(forecast forecast, program estimate, reports time.Duration) time.Duration {
-	if d.Chance > 0 {
-		return min(longestWait, time.Duration(float64(reports)/d.Chance))
+	if d.Probability > 0 {
+		return min(longestWait, time.Duration(float64(reports)/d.Probability))
 	}
-	return forecast.until(d.Room, program)
+	return forecast.until(d.SlotLimit, program)
 }
 
 // fairChance returns the chance of the request's tenant to begin a program, where one within its
@@ -240,15 +240,15 @@
 // when to come back.
 func (d *Decision) refuse(now time.Time, request Request, expected time.Duration) {
 	spread := 1 + waitSpread*(2*uniform(request.ID+"/wait", now)-1)
-	d.Wait = max(leastPause, time.Duration(spread*float64(expected)))
-	if now.Add(d.Wait).Before(request.Objective) {
+	d.RetryAfter = max(leastPause, time.Duration(spread*float64(expected)))
+	if now.Add(d.RetryAfter).Before(request.HoldUntil) {
 		d.Verdict = Hold
 		return
 	}
 	d.Verdict = Refuse
 	longest := time.Duration(waitShare * float64(request.Deadline.Sub(now)))
 	centre := min(expected, time.Duration(float64(longest)/(1+waitSpread)))
-	d.Wait = max(leastPause, time.Duration(spread*float64(centre)))
+	d.RetryAfter = max(leastPause, time.Duration(spread*float64(centre)))
 }
 
 // uniform maps an id at a moment to a number from 0 to 1.
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -121,8 +121,8 @@
 	return c.others.WithZone(now, c.Figures(now))
 }
 
-// Take replaces what another gateway, or another zone, said before.
-func (c *Controller) Take(now time.Time, source tally.Source, figures map[Key]float64) {
+// ReplaceReport replaces what another gateway, or another zone, said before.
+func (c *Controller) ReplaceReport(now time.Time, source tally.Source, figures map[Key]float64) {
 	c.others.Replace(now, source, figures)
 }
 
--- a/internal/admission/recall.go
+++ b/internal/admission/recall.go
@@ -13,9 +13,9 @@
 	at time.Time
 }
 
-// Lasting returns what the gateways of the own zone learned, without what holds for this moment
+// Snapshot returns what the gateways of the own zone learned, without what holds for this moment
 // only, such as the programs under way: what a gateway that starts later can go on with.
-func (c *Controller) Lasting(now time.Time) map[Key]float64 {
+func (c *Controller) Snapshot(now time.Time) map[Key]float64 {
 	figures := c.recalled.fadedTo(now)
 	kinds := map[group]*sums{}
 	for key, value := range c.ZoneFigures(now) {
@@ -36,14 +36,14 @@
 	return figures
 }
 
-// Recall takes what Lasting returned at a gateway of the own zone so long ago. It counts beside what
+// Restore takes what Lasting returned at a gateway of the own zone so long ago. It counts beside what
 // is learned from now on, and is not told to others: they recall it themselves.
-func (c *Controller) Recall(now time.Time, lasting map[Key]float64, age time.Duration) {
+func (c *Controller) Restore(now time.Time, lasting map[Key]float64, age time.Duration) {
 	c.recalled = recalled{figures: limited(lasting), at: now.Add(-age)}
 }
 
-// Recalled reports whether anything was recalled.
-func (c *Controller) Recalled() bool { return len(c.recalled.figures) > 0 }
+// Restored reports whether anything was recalled.
+func (c *Controller) Restored() bool { return len(c.recalled.figures) > 0 }
 
 // fadedTo returns the figures as of now. Those that fade with what is added to them stay.
 func (r recalled) fadedTo(now time.Time) map[Key]float64 {
--- a/internal/gateway/learnedcache_test.go
+++ b/internal/gateway/learnedcache_test.go
@@ -101,15 +101,15 @@
 	now := time.Unix(1000, 0)
 	require.Nil(t, before.lasting(now))
 	for range 100 {
-		before.programs.controller.Began(now, admission.Beginning{Kind: kind})
-		before.programs.controller.TurnEnded(now, admission.Turn{Kind: kind, First: true, Took: time.Second})
+		before.programs.controller.ProgramStarted(now, admission.ProgramStart{Kind: kind})
+		before.programs.controller.TurnCompleted(now, admission.Turn{Kind: kind, First: true, SlotTime: time.Second})
 		now = now.Add(time.Second)
 	}
 	after.recall(now, time.Second, before.lasting(now))
 	decide := func(s *programSection) admission.Decision {
 		return s.programs.controller.Decide(now, admission.Request{Kind: kind, Deadline: now}, admission.Load{Slots: 100})
 	}
-	require.True(t, decide(after).Known)
-	require.InEpsilon(t, decide(before).Program.Turn, decide(after).Program.Turn, 0.01)
-	require.False(t, decide(section()).Known)
+	require.True(t, decide(after).HasForecast)
+	require.InEpsilon(t, decide(before).Program.SlotTime, decide(after).Program.SlotTime, 0.01)
+	require.False(t, decide(section()).HasForecast)
 }
--- a/internal/gateway/limitparts_test.go
+++ b/internal/gateway/limitparts_test.go
@@ -49,10 +49,10 @@
 	s, r, now := limitedProgram(t)
 	for number := range 200 { // twenty programs a second of two turns of a second, on two slots
 		at := now.Add(time.Duration(number-200) * 50 * time.Millisecond)
-		began := admission.Beginning{Kind: r.programKind(), Program: fmt.Sprint(number), Left: time.Second}
-		s.programs.controller.Began(at, began)
-		s.programs.controller.TurnEnded(at, admission.Turn{Kind: began.Kind, Program: began.Program, First: true, Took: time.Second, Share: 1})
-		s.programs.controller.TurnEnded(at, admission.Turn{Kind: began.Kind, Program: began.Program, Took: time.Second, Share: 1})
+		began := admission.ProgramStart{Kind: r.programKind(), Program: fmt.Sprint(number), TimeLeft: time.Second}
+		s.programs.controller.ProgramStarted(at, began)
+		s.programs.controller.TurnCompleted(at, admission.Turn{Kind: began.Kind, Program: began.Program, First: true, SlotTime: time.Second, Utilization: 1})
+		s.programs.controller.TurnCompleted(at, admission.Turn{Kind: began.Kind, Program: began.Program, SlotTime: time.Second, Utilization: 1})
 	}
 	refused := s.withinLimit(t.Context(), r)
 	require.NotNil(t, refused)
@@ -72,5 +72,5 @@
 		require.Equal(t, "no replicas are known yet", s.withinLimit(t.Context(), r).reason)
 	}
 	decision := s.programs.controller.Decide(now, admission.Request{Kind: r.programKind(), Deadline: r.deadline}, admission.Load{Slots: 2})
-	require.Less(t, decision.Asked, requests/10.0)
+	require.Less(t, decision.ArrivalRate, requests/10.0)
 }
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	capacity := s.directory.Capacity(now, r.service.Name)
 	load := admission.Load{Slots: capacity.Slots, Busy: capacity.Busy}
-	asked := admission.Request{ID: r.id, Kind: r.programKind(), Objective: r.arrived.Add(r.route.Objective), Deadline: r.deadline, Left: r.programLeft(now), Excess: s.tenantExcess(r)}
+	asked := admission.Request{ID: r.id, Kind: r.programKind(), HoldUntil: r.arrived.Add(r.route.Objective), Deadline: r.deadline, TimeLeft: r.programLeft(now), Excess: s.tenantExcess(r)}
 	s.programs.mu.Lock()
 	r.admission = s.programs.controller.Decide(now, asked, load)
 	s.programs.mu.Unlock()
@@ -73,10 +73,10 @@
 // reports false when the program is refused, or its caller is gone.
 func (s *Server) holdProgram(ctx context.Context, r *request) bool {
 	if r.admission.Verdict == admission.Refuse {
-		r.retryAfter = r.admission.Wait
+		r.retryAfter = r.admission.RetryAfter
 		return false
 	}
-	pause := r.admission.Wait
+	pause := r.admission.RetryAfter
 	r.admission = admission.Decision{}
 	return wait.For(ctx, pause)
 }
@@ -101,7 +101,7 @@
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
-	s.programs.controller.Withdrawn(time.Now(), r.programKind(), r.admission)
+	s.programs.controller.ProgramWithdrawn(time.Now(), r.programKind(), r.admission)
 }
 
 // programBegan notes that an instance took a program's first request.
@@ -110,13 +110,13 @@
 		return
 	}
 	now := time.Now()
-	began := admission.Beginning{
-		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), Left: r.programLeft(now), Share: s.shareInUse(now, r.service.Name),
-		Usual: r.admission.Usual,
+	began := admission.ProgramStart{
+		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), TimeLeft: r.programLeft(now), Utilization: s.shareInUse(now, r.service.Name),
+		RetryFree: r.admission.RetryFree,
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
-	s.programs.controller.Began(now, began)
+	s.programs.controller.ProgramStarted(now, began)
 }
 
 // programTurnEnded learns from a request of a program that was answered whole.
@@ -125,12 +125,12 @@
 		return
 	}
 	turn := admission.Turn{
-		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), First: r.first, Took: took,
-		Share: s.shareInUse(now, r.service.Name),
+		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), First: r.first, SlotTime: took,
+		Utilization: s.shareInUse(now, r.service.Name),
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
-	s.programs.controller.TurnEnded(now, turn)
+	s.programs.controller.TurnCompleted(now, turn)
 }
 
 // shareInUse returns the part of a service's slots that is believed to be in use.
@@ -148,23 +148,23 @@
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
-	s.programs.controller.TurnLost(time.Now(), r.programKind())
+	s.programs.controller.TurnFailed(time.Now(), r.programKind())
 }
 
 // logAdmission writes each decision that holds or refuses a program, and while room is short
 // those that admit one.
 func (s *Server) logAdmission(r *request, kind admission.Kind, load admission.Load) {
 	decision := r.admission
-	if !decision.Short() {
+	if !decision.Throttled() {
 		return
 	}
 	s.log.Info().Str("event", "program_admission").Str("id", r.id).Str("program", r.header.Get(s.dialect.Program)).
 		Str("service", kind.Service).Int("rank", kind.Rank).Str("verdict", decision.Verdict.String()).
-		Int("slots", load.Slots).Int("busy", load.Busy).Float64("room", decision.Room).Float64("committed", decision.Committed).
-		Float64("reserved", decision.Reserved).Dur("tightest", decision.Tightest).Float64("asked_per_s", decision.Asked).
-		Float64("turns", decision.Program.Turns).Dur("turn", decision.Program.Turn).Dur("stage", decision.Program.Stage).
-		Float64("stretch", decision.Program.Stretch).Float64("factor", decision.Factor).
-		Float64("chance", decision.Chance).Bool("known", decision.Known).Bool("hopeless", decision.Hopeless).Int("sources", decision.Sources).Dur("wait", decision.Wait).
+		Int("slots", load.Slots).Int("busy", load.Busy).Float64("room", decision.SlotLimit).Float64("committed", decision.Committed).
+		Float64("reserved", decision.Reserved).Dur("tightest", decision.PeakAfter).Float64("asked_per_s", decision.ArrivalRate).
+		Float64("turns", decision.Program.Turns).Dur("turn", decision.Program.SlotTime).Dur("stage", decision.Program.StageTime).
+		Float64("stretch", decision.Program.MaxSlowdown).Float64("factor", decision.Calibration).
+		Float64("chance", decision.Probability).Bool("known", decision.HasForecast).Bool("hopeless", decision.Infeasible).Int("sources", decision.Sources).Dur("wait", decision.RetryAfter).
 		Int64("program_left_ms", r.programLeftMS()).Int64("age_ms", time.Since(r.arrived).Milliseconds()).
 		Int64("list_age_ms", s.listAge().Milliseconds()).Float64("excess", r.outcome.excess).Msg("")
 }
@@ -210,11 +210,11 @@
 	}
 	p.programs.mu.Lock()
 	defer p.programs.mu.Unlock()
-	p.programs.controller.Take(now, source, figures)
+	p.programs.controller.ReplaceReport(now, source, figures)
 }
 
 func (p *programSection) lasting(now time.Time) []byte {
-	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.Lasting(now) })
+	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.Snapshot(now) })
 }
 
 func (p *programSection) recall(now time.Time, age time.Duration, encoded []byte) {
@@ -225,7 +225,7 @@
 	}
 	p.programs.mu.Lock()
 	defer p.programs.mu.Unlock()
-	p.programs.controller.Recall(now, figures, age)
+	p.programs.controller.Restore(now, figures, age)
 }
 
 // newestVersions keeps the newest report of each gateway. Reports of a whole zone come from any
@@ -280,10 +280,10 @@
 func (m *programMetrics) decided(kind admission.Kind, decision admission.Decision) {
 	rank := strconv.Itoa(kind.Rank)
 	m.decisions.WithLabelValues(kind.Service, rank, decision.Verdict.String()).Inc()
-	if !decision.Known {
+	if !decision.HasForecast {
 		return
 	}
-	m.room.WithLabelValues(kind.Service, rank).Set(decision.Room)
+	m.room.WithLabelValues(kind.Service, rank).Set(decision.SlotLimit)
 	m.committed.WithLabelValues(kind.Service, rank).Set(decision.Committed)
 	m.reserved.WithLabelValues(kind.Service, rank).Set(decision.Reserved)
 }
--- a/internal/gateway/programs_test.go
+++ b/internal/gateway/programs_test.go
@@ -33,12 +33,12 @@
 		header: http.Header{"X-Test-Program": {"p"}},
 	}
 	for i := range 100 {
-		s.programs.controller.Began(now.Add(-10*time.Second), admission.Beginning{Kind: r.programKind(), Program: fmt.Sprint(i)})
+		s.programs.controller.ProgramStarted(now.Add(-10*time.Second), admission.ProgramStart{Kind: r.programKind(), Program: fmt.Sprint(i)})
 	}
 	for i := range 100 {
 		for turn := range 2 {
-			ended := admission.Turn{Kind: r.programKind(), Program: fmt.Sprint(i), First: turn == 0, Took: time.Second}
-			s.programs.controller.TurnEnded(now.Add(-8*time.Second), ended)
+			ended := admission.Turn{Kind: r.programKind(), Program: fmt.Sprint(i), First: turn == 0, SlotTime: time.Second}
+			s.programs.controller.TurnCompleted(now.Add(-8*time.Second), ended)
 		}
 	}
 	s.mayBegin(r) // the first decision brings what was learned to use
@@ -85,7 +85,7 @@
 	heard.take(now, source, version, said.own(now))
 	heard.take(now, source, tally.Version{Started: 1, Number: 1}, said.own(now.Add(time.Hour))) // overtaken
 	decision := other.programs.controller.Decide(now, admission.Request{ID: "x", Kind: r.programKind()}, admission.Load{Slots: 2})
-	require.True(t, decision.Known)
+	require.True(t, decision.HasForecast)
 	require.Equal(t, 1, decision.Sources)
-	require.Less(t, decision.Chance, 1.0)
+	require.Less(t, decision.Probability, 1.0)
 }
--- a/internal/overload/programs_test.go
+++ b/internal/overload/programs_test.go
@@ -54,7 +54,7 @@
 			learned := r.learned()
 			for _, gateway := range r.gateways {
 				gateway.policy = newPolicy()
-				gateway.policy.(*decided).programs.Recall(r.now, learned, keepEvery)
+				gateway.policy.(*decided).programs.Restore(r.now, learned, keepEvery)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	if !r.load.Reports.Recall {
 		return nil
 	}
-	return r.gateways[0].policy.(*decided).programs.Lasting(r.now)
+	return r.gateways[0].policy.(*decided).programs.Snapshot(r.now)
 }
 
 func (r *replayed) reportPrograms(number int) {
@@ -91,7 +91,7 @@
 			for range copies {
 				r.after(milliseconds(trouble.MostLateMS*r.random.Float64()), func() {
 					if said, err := admission.Decode(encoded); err == nil {
-						other.policy.(*decided).programs.Take(r.now, tally.Source{Gateway: fmt.Sprint(i)}, said)
+						other.policy.(*decided).programs.ReplaceReport(r.now, tally.Source{Gateway: fmt.Sprint(i)}, said)
 					}
 				})
 			}
@@ -110,15 +110,15 @@
 		return true
 	}
 	c.admission = policy.programs.Decide(r.now, admission.Request{
-		ID: id, Kind: c.programKind(), Objective: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), Deadline: c.deadline,
-		Left: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now),
+		ID: id, Kind: c.programKind(), HoldUntil: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), Deadline: c.deadline,
+		TimeLeft: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now),
 	}, admission.Load{Slots: capacity.Slots, Busy: capacity.Busy})
 	if c.admission.Verdict != admission.Admit {
 		return false
 	}
-	policy.programs.Began(r.now, admission.Beginning{
-		Kind: c.programKind(), Program: c.program, Share: float64(capacity.Busy) / float64(max(1, capacity.Slots)),
-		Left: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now), Usual: c.admission.Usual,
+	policy.programs.ProgramStarted(r.now, admission.ProgramStart{
+		Kind: c.programKind(), Program: c.program, Utilization: float64(capacity.Busy) / float64(max(1, capacity.Slots)),
+		TimeLeft: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now), RetryFree: c.admission.RetryFree,
 	})
 	return true
 }
@@ -127,10 +127,10 @@
 func (c *call) held() (pause, retryAfter time.Duration, held bool) {
 	switch decision := c.admission; decision.Verdict {
 	case admission.Hold:
-		return decision.Wait, 0, true
+		return decision.RetryAfter, 0, true
 	case admission.Refuse:
 		c.admission = admission.Decision{}
-		return 0, decision.Wait, true
+		return 0, decision.RetryAfter, true
 	default:
 		return 0, 0, false
 	}
@@ -142,9 +142,9 @@
 		return
 	}
 	capacity := g.directory.Capacity(now, "s")
-	policy.programs.TurnEnded(now, admission.Turn{
-		Kind: c.programKind(), Program: c.program, First: c.first, Took: now.Sub(choice.PickedAt),
-		Share: float64(capacity.Busy) / float64(max(1, capacity.Slots)),
+	policy.programs.TurnCompleted(now, admission.Turn{
+		Kind: c.programKind(), Program: c.program, First: c.first, SlotTime: now.Sub(choice.PickedAt),
+		Utilization: float64(capacity.Busy) / float64(max(1, capacity.Slots)),
 	})
 }
 
