--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -61,11 +61,11 @@
 	// to use at the moment that leaves the least room, Reserved what more urgent programs are
 	// expected to ask by then. Tightest is when that moment comes.
 	SlotLimit, Committed, Reserved float64
-	PeakAfter                  time.Duration
+	PeakAfter                      time.Duration
 	// Program is what one program of the kind is expected to ask for, Factor the slots in use
 	// for each one that is expected.
-	Program ProgramEstimate
-	Calibration  float64
+	Program     ProgramEstimate
+	Calibration float64
 	// ArrivalRate is how many programs as urgent as this one ask to begin a second, over all
 	// gateways, Probability the part of them that may begin.
 	ArrivalRate, Probability float64
@@ -84,8 +84,8 @@
 // ProgramEstimate is what one program of a kind is expected to ask for.
 type ProgramEstimate struct {
 	// Turns is how many turns follow its first one, Turn the slot time of each.
-	Turns float64
-	SlotTime  time.Duration
+	Turns    float64
+	SlotTime time.Duration
 	// StageTime is the mean time of each of its two stages, Stretch how many times as long as without
 	// other load its turns may take; 0 if that is not known.
 	StageTime   time.Duration
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -38,21 +38,21 @@
 func (q *queues) refused(now time.Time, service string, request overload.Request, capacity overload.Capacity) overload.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.of(service).Refused(now, request, capacity)
+	return q.of(service).Decide(now, request, capacity)
 }
 
 // taken notes that an instance took the request.
 func (q *queues) taken(r *request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.of(r.service.Name).Taken(time.Now(), r.id)
+	q.of(r.service.Name).Accepted(time.Now(), r.id)
 }
 
 // left notes that the request waits no longer, for whatever reason.
 func (q *queues) left(r *request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.of(r.service.Name).Left(r.id)
+	q.of(r.service.Name).Remove(r.id)
 }
 
 // waitForSlot pauses before instances are asked again. It reports false when the request
@@ -86,14 +86,14 @@
 // overloadRequest returns what the decision needs to know of a request.
 func (s *Server) overloadRequest(r *request) overload.Request {
 	request := overload.Request{
-		ID:            r.id,
-		First:         r.first && r.route.Objective > 0,
-		Begun:         !r.first && r.header.Get(s.dialect.Program) != "",
-		Arrived:       r.arrived,
-		Deadline:      r.deadline,
-		Objective:     r.arrived.Add(r.route.Objective),
-		ObjectiveTime: r.route.Objective,
-		RouteRank:     r.table.RankOf(r.route, r.service.Name),
+		ID:               r.id,
+		FirstOfProgram:   r.first && r.route.Objective > 0,
+		LaterOfProgram:   !r.first && r.header.Get(s.dialect.Program) != "",
+		Arrived:          r.arrived,
+		Deadline:         r.deadline,
+		StartBy:          r.arrived.Add(r.route.Objective),
+		LatencyObjective: r.route.Objective,
+		RouteRank:        r.table.RankOf(r.route, r.service.Name),
 	}
 	if r.tenant != nil {
 		request.TenantRank = r.tenant.Priority + excessRank(s.tenantExcess(r))
@@ -110,7 +110,7 @@
 	s.log.Info().Str("event", "overload").Str("id", r.id).Str("service", r.service.Name).Str("verdict", decision.Verdict.String()).
 		Int("slots", capacity.Slots).Int("busy", capacity.Busy).Dur("usual", capacity.Usual).Dur("recent_first", capacity.RecentFirst).
 		Int("waiting", decision.Waiting).Int("rank", decision.Rank).Int("looks", r.polls).
-		Float64("chance", decision.Chance).Dur("expected", decision.Expected).Dur("left", decision.Left).
+		Float64("chance", decision.Probability).Dur("expected", decision.ExpectedWait).Dur("left", decision.TimeLeft).
 		Dur("retry_after", decision.RetryAfter).Int64("age_ms", now.Sub(r.arrived).Milliseconds()).
 		Int64("list_age_ms", s.listAge().Milliseconds()).Float64("excess", r.outcome.excess).Msg("")
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -101,7 +101,7 @@
 // mayBeSent reports whether enough time is left to learn what becomes of a send. A request that
 // may have run already has nothing to lose by one more.
 func (r *request) mayBeSent(now time.Time) bool {
-	return r.lostAnswer || r.deadline.Sub(now) > overload.LeastSendTime(r.deadline.Sub(r.arrived))
+	return r.lostAnswer || r.deadline.Sub(now) > overload.MinSendTime(r.deadline.Sub(r.arrived))
 }
 
 // pick chooses an instance unless enough of them have refused the request in this poll, or it
--- a/internal/overload/decision_test.go
+++ b/internal/overload/decision_test.go
@@ -26,17 +26,17 @@
 		{"nearly sure to be served", overload.Request{Deadline: in(3000)}, full, 0, overload.Wait},
 		{"no time left", overload.Request{Deadline: in(60)}, full, 0, overload.Reject},
 		{"not likely to be served", overload.Request{Deadline: in(3000)}, full, 300, overload.Reject},
-		{"a running program where a slot is possible", overload.Request{Begun: true, Deadline: in(3000)}, full, 300, overload.Wait},
-		{"a running program where none is", overload.Request{Begun: true, Deadline: in(3000)}, full, 9000, overload.Reject},
-		{"a new program that would begin late", overload.Request{First: true, Deadline: in(3000), Objective: in(40)}, full, 0, overload.Reject},
+		{"a running program where a slot is possible", overload.Request{LaterOfProgram: true, Deadline: in(3000)}, full, 300, overload.Wait},
+		{"a running program where none is", overload.Request{LaterOfProgram: true, Deadline: in(3000)}, full, 9000, overload.Reject},
+		{"a new program that would begin late", overload.Request{FirstOfProgram: true, Deadline: in(3000), StartBy: in(40)}, full, 0, overload.Reject},
 		{"slots are free", overload.Request{Deadline: in(3000)}, calm, 300, overload.Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			queue := overload.NewQueue()
 			for i := range c.vain {
-				queue.Refused(now, overload.Request{ID: fmt.Sprint(i), Deadline: in(3000)}, c.capacity)
+				queue.Decide(now, overload.Request{ID: fmt.Sprint(i), Deadline: in(3000)}, c.capacity)
 			}
-			decision := queue.Refused(now, c.request, c.capacity)
+			decision := queue.Decide(now, c.request, c.capacity)
 			require.Equal(t, c.want, decision.Verdict, "%+v", decision)
 			if decision.Verdict == overload.Reject {
 				require.LessOrEqual(t, decision.RetryAfter, max(20*time.Millisecond, c.request.Deadline.Sub(now)/2))
@@ -54,13 +54,13 @@
 		slots   int
 		want    bool
 	}{
-		{overload.Request{First: true}, 99, 100, true},
-		{overload.Request{First: true}, 100, 100, false},
-		{overload.Request{First: true, RouteRank: 1}, 89, 100, true},
-		{overload.Request{First: true, RouteRank: 1}, 90, 100, false},
-		{overload.Request{First: true, TenantRank: 1}, 90, 100, false},
-		{overload.Request{Begun: true, RouteRank: 1}, 100, 100, true},
-		{overload.Request{First: true}, 0, 0, true}, // somebody must find out when they are back
+		{overload.Request{FirstOfProgram: true}, 99, 100, true},
+		{overload.Request{FirstOfProgram: true}, 100, 100, false},
+		{overload.Request{FirstOfProgram: true, RouteRank: 1}, 89, 100, true},
+		{overload.Request{FirstOfProgram: true, RouteRank: 1}, 90, 100, false},
+		{overload.Request{FirstOfProgram: true, TenantRank: 1}, 90, 100, false},
+		{overload.Request{LaterOfProgram: true, RouteRank: 1}, 100, 100, true},
+		{overload.Request{FirstOfProgram: true}, 0, 0, true}, // somebody must find out when they are back
 	} {
 		require.Equal(t, c.want, queue.Admits(c.request, overload.Capacity{Slots: c.slots, Busy: c.taken}), "%+v", c)
 	}
@@ -69,8 +69,8 @@
 func TestNewProgramsHoldOffWhileStreamsBeginSlowly(t *testing.T) {
 	queue := overload.NewQueue()
 	const objective = 200 * time.Millisecond
-	urgent := overload.Request{First: true, ObjectiveTime: objective}
-	less := overload.Request{First: true, ObjectiveTime: objective, RouteRank: 1}
+	urgent := overload.Request{FirstOfProgram: true, LatencyObjective: objective}
+	less := overload.Request{FirstOfProgram: true, LatencyObjective: objective, RouteRank: 1}
 	for _, c := range []struct {
 		request overload.Request
 		busy    int
@@ -81,7 +81,7 @@
 		{less, 80, 130 * time.Millisecond, false},
 		{urgent, 80, 160 * time.Millisecond, false},
 		{urgent, 49, 160 * time.Millisecond, true}, // slow for another reason than their number
-		{overload.Request{Begun: true, ObjectiveTime: objective}, 80, time.Second, true},
+		{overload.Request{LaterOfProgram: true, LatencyObjective: objective}, 80, time.Second, true},
 	} {
 		require.Equal(t, c.want, queue.Admits(c.request, overload.Capacity{Slots: 100, Busy: c.busy, RecentFirst: c.first}), "%+v", c)
 	}
@@ -91,8 +91,8 @@
 	now := time.Unix(1000, 0)
 	seen := map[time.Duration]bool{}
 	for i := range 100 {
-		request := overload.Request{ID: fmt.Sprint(i), First: true, Deadline: now.Add(3 * time.Second), Objective: now}
-		decision := overload.NewQueue().Refused(now, request, overload.Capacity{Slots: 1, Busy: 1, Usual: 200 * time.Millisecond})
+		request := overload.Request{ID: fmt.Sprint(i), FirstOfProgram: true, Deadline: now.Add(3 * time.Second), StartBy: now}
+		decision := overload.NewQueue().Decide(now, request, overload.Capacity{Slots: 1, Busy: 1, Usual: 200 * time.Millisecond})
 		seen[decision.RetryAfter/(20*time.Millisecond)] = true
 	}
 	require.Greater(t, len(seen), 8, "they come back in many moments")
@@ -108,7 +108,7 @@
 		request := overload.Request{ID: "a", Arrived: arrived, Deadline: arrived.Add(whole)}
 		now := arrived
 		for {
-			decision := queue.Refused(now, request, calm)
+			decision := queue.Decide(now, request, calm)
 			if decision.Verdict == overload.Reject {
 				break
 			}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -57,29 +57,29 @@
 	mostSendTime = 100 * time.Millisecond
 )
 
-// LeastSendTime returns how much time a request must have left to be sent, given its whole time
+// MinSendTime returns how much time a request must have left to be sent, given its whole time
 // from its arrival to its deadline. With less, its deadline may pass before an instance's refusal
 // comes, and nobody can tell its caller any more that it has not run.
-func LeastSendTime(whole time.Duration) time.Duration {
+func MinSendTime(whole time.Duration) time.Duration {
 	return min(mostSendTime, time.Duration(leastSendShare*float64(whole)))
 }
 
 // Request is what the decision knows of a request.
 type Request struct {
 	ID string
-	// First says that it is the first request of a program, whose failure loses nothing; Begun
+	// FirstOfProgram says that it is the first request of a program, whose failure loses nothing; LaterOfProgram
 	// that it is a later one, whose failure may lose what the program has used.
-	First, Begun bool
+	FirstOfProgram, LaterOfProgram bool
 	// RouteRank and TenantRank say how much less urgent it is than the most urgent requests
 	// of its service.
 	RouteRank, TenantRank int
 	// Arrived is when it came, Deadline when its caller leaves.
 	Arrived, Deadline time.Time
-	// Objective is until when its answer should begin. A program whose first request waits
+	// StartBy is until when its answer should begin. A program whose first request waits
 	// longer is late from the start, and takes the slots of others that are not.
-	Objective time.Time
-	// ObjectiveTime is how long after its arrival that is.
-	ObjectiveTime time.Duration
+	StartBy time.Time
+	// LatencyObjective is how long after its arrival that is.
+	LatencyObjective time.Duration
 }
 
 // lessUrgent reports whether others of its service are more urgent.
@@ -88,7 +88,7 @@
 // rank is by how many doublings its poll interval exceeds that of the most urgent requests.
 func (r Request) rank() int {
 	rank := r.RouteRank + r.TenantRank
-	if r.First {
+	if r.FirstOfProgram {
 		rank++
 	}
 	return min(maxRank, max(0, rank))
@@ -114,7 +114,7 @@
 	if request.lessUrgent() {
 		share = slowShareLess
 	}
-	return request.ObjectiveTime > 0 && float64(c.RecentFirst) > share*float64(request.ObjectiveTime)
+	return request.LatencyObjective > 0 && float64(c.RecentFirst) > share*float64(request.LatencyObjective)
 }
 
 // Verdict is what a request is told.
@@ -140,11 +140,11 @@
 	Verdict Verdict
 	// Pause is when to poll again, RetryAfter when a refused caller should come back.
 	Pause, RetryAfter time.Duration
-	// Expected is the forecast time until a slot, Chance the chance to get one in time.
-	Expected time.Duration
-	Chance   float64
-	// Left is the time in which a slot is still of use.
-	Left time.Duration
+	// ExpectedWait is the forecast time until a slot, Chance the chance to get one in time.
+	ExpectedWait time.Duration
+	Probability  float64
+	// TimeLeft is the time in which a slot is still of use.
+	TimeLeft time.Duration
 	// Rank is the request's rank, Waiting how many requests wait here.
 	Rank, Waiting int
 }
@@ -154,26 +154,26 @@
 	rank := request.rank()
 	pause := pollInterval << rank
 	// A request that starts with less than half of its usual time left seldom ends.
-	left := request.Deadline.Sub(now) - max(capacity.Usual/2, LeastSendTime(request.Deadline.Sub(request.Arrived)))
-	if request.First {
-		left = min(left, request.Objective.Sub(now))
+	left := request.Deadline.Sub(now) - max(capacity.Usual/2, MinSendTime(request.Deadline.Sub(request.Arrived)))
+	if request.FirstOfProgram {
+		left = min(left, request.StartBy.Sub(now))
 	}
 	polls := math.Floor(max(0, float64(left)/float64(pause)))
-	decision := Decision{Verdict: Wait, Pause: pause, Left: left, Rank: rank, Waiting: waiting}
-	decision.Expected = time.Duration(float64(pause) / chancePerPoll)
-	decision.Chance = 1 - math.Pow(1-chancePerPoll, polls)
-	if left > pause && (decision.Chance >= leastChance(request, waits) || capacity.calm()) {
+	decision := Decision{Verdict: Wait, Pause: pause, TimeLeft: left, Rank: rank, Waiting: waiting}
+	decision.ExpectedWait = time.Duration(float64(pause) / chancePerPoll)
+	decision.Probability = 1 - math.Pow(1-chancePerPoll, polls)
+	if left > pause && (decision.Probability >= leastChance(request, waits) || capacity.calm()) {
 		return decision
 	}
 	decision.Verdict = Reject
-	decision.RetryAfter = retryAfter(request, decision.Expected, request.Deadline.Sub(now))
+	decision.RetryAfter = retryAfter(request, decision.ExpectedWait, request.Deadline.Sub(now))
 	return decision
 }
 
 // leastChance returns the chance below which a request is refused.
 func leastChance(request Request, waits bool) float64 {
 	switch {
-	case request.Begun:
+	case request.LaterOfProgram:
 		return begunWaitChance
 	case waits:
 		return keepWaitChance
--- a/internal/overload/policies_test.go
+++ b/internal/overload/policies_test.go
@@ -24,16 +24,16 @@
 
 func (p *decided) refused(now, _ time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration) {
 	if p.equal {
-		request.First, request.RouteRank, request.TenantRank = false, 0, 0
+		request.FirstOfProgram, request.RouteRank, request.TenantRank = false, 0, 0
 	}
-	decision := p.queue.Refused(now, request, capacity)
+	decision := p.queue.Decide(now, request, capacity)
 	if decision.Verdict == overload.Reject {
 		return 0, decision.RetryAfter
 	}
 	return decision.Pause, 0
 }
-func (p *decided) taken(now time.Time, id string) { p.queue.Taken(now, id) }
-func (p *decided) left(id string)                 { p.queue.Left(id) }
+func (p *decided) taken(now time.Time, id string) { p.queue.Accepted(now, id) }
+func (p *decided) left(id string)                 { p.queue.Remove(id) }
 
 // halfDeadline asks every 25 ms for half of the deadline and names one pause to all callers.
 type halfDeadline struct{}
--- a/internal/overload/queue.go
+++ b/internal/overload/queue.go
@@ -23,7 +23,7 @@
 // work on each more slowly, well before all slots are busy. Less urgent programs leave some
 // slots to the more urgent ones that may begin next.
 func (q *Queue) Admits(request Request, capacity Capacity) bool {
-	if !request.First || capacity.Slots == 0 {
+	if !request.FirstOfProgram || capacity.Slots == 0 {
 		return true
 	}
 	if !capacity.calm() && capacity.slow(request) {
@@ -36,8 +36,8 @@
 	return float64(capacity.Busy) < most
 }
 
-// Refused decides about a request that asked instances and was not taken.
-func (q *Queue) Refused(now time.Time, request Request, capacity Capacity) Decision {
+// Decide decides about a request that asked instances and was not taken.
+func (q *Queue) Decide(now time.Time, request Request, capacity Capacity) Decision {
 	q.forecast.add(now, 0, 1)
 	chance := q.forecast.perPoll(now, capacity.Usual)
 	decision := decide(request, capacity, now, chance, len(q.waiting), q.waiting[request.ID])
@@ -49,17 +49,17 @@
 	return decision
 }
 
-// Taken notes that an instance took a request. While none waits, that tells nothing of how
+// Accepted notes that an instance took a request. While none waits, that tells nothing of how
 // long others would wait.
-func (q *Queue) Taken(now time.Time, id string) {
+func (q *Queue) Accepted(now time.Time, id string) {
 	if len(q.waiting) > 0 {
 		q.forecast.add(now, 1, 1)
 	}
 	delete(q.waiting, id)
 }
 
-// Left notes that a waiting request's caller is gone.
-func (q *Queue) Left(id string) { delete(q.waiting, id) }
+// Remove notes that a waiting request's caller is gone.
+func (q *Queue) Remove(id string) { delete(q.waiting, id) }
 
 // Waiting returns how many requests wait.
 func (q *Queue) Waiting() int { return len(q.waiting) }
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -361,8 +361,8 @@
 func (r *replayed) asked(c *call, gateway *gatewayModel, id string) (overload.Request, overload.Capacity) {
 	believed := gateway.directory.Capacity(r.now, "s")
 	return overload.Request{
-		ID: id, First: c.first, Begun: c.spec.Calls || c.spec.Turns > 0 && !c.first, RouteRank: c.spec.Rank, TenantRank: c.spec.TenantRank, Deadline: c.deadline,
-		Objective: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), ObjectiveTime: milliseconds(2.5 * c.spec.WorkMS),
+		ID: id, FirstOfProgram: c.first, LaterOfProgram: c.spec.Calls || c.spec.Turns > 0 && !c.first, RouteRank: c.spec.Rank, TenantRank: c.spec.TenantRank, Deadline: c.deadline,
+		StartBy: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), LatencyObjective: milliseconds(2.5 * c.spec.WorkMS),
 	}, overload.Capacity{Slots: believed.Slots, Busy: believed.Busy, Usual: believed.Usual, RecentFirst: believed.RecentFirst}
 }
 
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -156,7 +156,7 @@
 	var expired []Work
 	s.queue = slices.DeleteFunc(s.queue, func(work Work) bool {
 		left := work.Deadline.Sub(now)
-		late := !work.Deadline.IsZero() && left <= overload.LeastSendTime(work.Deadline.Sub(work.EnqueuedAt))
+		late := !work.Deadline.IsZero() && left <= overload.MinSendTime(work.Deadline.Sub(work.EnqueuedAt))
 		if late {
 			expired = append(expired, work)
 		}
