--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -50,8 +50,8 @@
 
 // take uses an allowance. The caller holds the lock.
 func (a *allowances) take(now time.Time, tenant string, part quota.Part) bool {
-	taken := a.borrower.Take(now, tenant)
-	if taken && part != quota.PartUntold {
+	taken := a.borrower.Consume(now, tenant)
+	if taken && part != quota.PartUnknown {
 		a.borrower.Served(now, tenant, part)
 	}
 	return taken
@@ -61,21 +61,21 @@
 func (a *allowances) short(tenant string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.borrower.Short(time.Now(), tenant)
+	a.borrower.Rejected(time.Now(), tenant)
 }
 
 // unanswered notes that a lender did not answer.
 func (a *allowances) unanswered(lender string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.borrower.Unanswered(time.Now(), lender)
+	a.borrower.TimedOut(time.Now(), lender)
 }
 
 // next returns the lender to ask. admitted says that the tenant's home lender has answered.
 func (a *allowances) next(tenant string, lenders []string, part quota.Part, admitted bool) quota.NextStep {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.borrower.NextOf(time.Now(), tenant, lenders, part, admitted)
+	return a.borrower.NextForPart(time.Now(), tenant, lenders, part, admitted)
 }
 
 // lent adds a loan and uses an allowance of it for the request that asked.
@@ -126,7 +126,7 @@
 		step := s.allowances.next(name, lenders, part, admitted)
 		switch {
 		case step.Lender != "":
-		case step.Told > 0:
+		case step.Exhausted > 0:
 			s.noteBeyondLimit(r, part, quota.Loan{Wait: step.Wait})
 			return beyondLimit(max(step.Wait, leastLimitRetry))
 		default:
@@ -134,8 +134,8 @@
 		}
 		r.outcome.lender = step.Lender
 		sentAt := time.Now()
-		lent, err := s.askLender(ctx, cell, step.Lender, step.Asked)
-		admitted = admitted || err == nil && step.Asked.Part == quota.PartFirst
+		lent, err := s.askLender(ctx, cell, step.Lender, step.Request)
+		admitted = admitted || err == nil && step.Request.Part == quota.PartFirst
 		switch {
 		case ctx.Err() != nil:
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered on the tenant's limit")
@@ -147,7 +147,7 @@
 		case lent.Held:
 			s.noteBeyondLimit(r, part, lent)
 			return beyondLimit(max(lent.Wait, leastLimitRetry))
-		case lent.Unlimited || s.allowances.lent(sentAt, step.Lender, step.Asked, part, lent):
+		case lent.Unlimited || s.allowances.lent(sentAt, step.Lender, step.Request, part, lent):
 			return nil
 		}
 	}
--- a/internal/gateway/limitparts.go
+++ b/internal/gateway/limitparts.go
@@ -17,7 +17,7 @@
 func (s *Server) programPart(r *request) quota.Part {
 	switch {
 	case !s.options.LoadControl || !s.options.LimitSetAside:
-		return quota.PartUntold
+		return quota.PartUnknown
 	case r.first || r.header.Get(s.dialect.Program) == "":
 		return quota.PartFirst
 	default:
--- a/internal/gateway/limitparts_test.go
+++ b/internal/gateway/limitparts_test.go
@@ -25,7 +25,7 @@
 	require.Equal(t, quota.PartFirst, of("", false))
 	for _, off := range []Options{{LoadControl: true}, {LimitSetAside: true}} {
 		s.options = off
-		require.Equal(t, quota.PartUntold, of("p", true))
+		require.Equal(t, quota.PartUnknown, of("p", true))
 	}
 }
 
--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -78,7 +78,7 @@
 // its words as well.
 func TestLendersAndGatewaysOfTwoVersionsUnderstandEachOther(t *testing.T) {
 	var old borrow07
-	recode(t, quota.Borrow{Tenant: "t", Waiting: 1, Ahead: 2, Part: quota.PartFirst, Told: quota.Told{First: 1, Later: 9}}, &old)
+	recode(t, quota.Borrow{Tenant: "t", Waiting: 1, Ahead: 2, Part: quota.PartFirst, Told: quota.Usage{First: 1, Later: 9}}, &old)
 	require.Equal(t, borrow07{Tenant: "t", Waiting: 1, Ahead: 2}, old)
 	var asked quota.Borrow
 	recode(t, old, &asked)
--- a/internal/ledger/wire_test.go
+++ b/internal/ledger/wire_test.go
@@ -30,7 +30,7 @@
 	require.LessOrEqual(t, size(answer, answer), 90)
 	told, held := question, answer
 	told.Borrow = &quota.Borrow{
-		Tenant: "tenant-of-twenty-bytes", Waiting: 1, Ahead: 2, Part: quota.PartLater, Told: quota.Told{First: 1, Later: 9, Short: 3, Lent: 12},
+		Tenant: "tenant-of-twenty-bytes", Waiting: 1, Ahead: 2, Part: quota.PartLater, Told: quota.Usage{First: 1, Later: 9, Short: 3, Lent: 12},
 	}
 	held.Loan = &quota.Loan{Held: true, Wait: 2 * time.Second, Forecast: quota.Forecast{Credit: 9, Begun: 12, PerProgram: 18.25}}
 	require.LessOrEqual(t, size(question, told), 80)
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -38,7 +38,7 @@
 	// home is the tenant's home lender, untold what it does not know of. That is below zero for
 	// requests that it lent to and that have not gone on yet.
 	home   string
-	untold Told
+	untold Usage
 }
 
 // allowance is a number of requests that may go on.
@@ -88,8 +88,8 @@
 	return h.demand * math.Exp(-now.Sub(h.demandAt).Seconds()/demandSpan.Seconds())
 }
 
-// Take uses an allowance of the tenant, and reports false if there is none.
-func (b *Borrower) Take(now time.Time, tenant string) bool {
+// Consume uses an allowance of the tenant, and reports false if there is none.
+func (b *Borrower) Consume(now time.Time, tenant string) bool {
 	known := b.of(now, tenant)
 	known.expire(now)
 	if len(known.held) == 0 {
@@ -112,12 +112,12 @@
 // NextStep is what a request without an allowance does.
 type NextStep struct {
 	// Lender is to be asked for Asked; "" if nobody is.
-	Lender string
-	Asked  Borrow
-	// Told is how many lenders said that they have no allowance, Wait when the first of
+	Lender  string
+	Request Borrow
+	// Exhausted is how many lenders said that they have no allowance, Wait when the first of
 	// these has one again.
-	Told int
-	Wait time.Duration
+	Exhausted int
+	Wait      time.Duration
 }
 
 // Next returns the first of the lenders that may have an allowance, and what to ask it for
@@ -126,7 +126,7 @@
 func (b *Borrower) Next(now time.Time, tenant string, lenders []string) NextStep {
 	known := b.of(now, tenant)
 	ask := func(name string) NextStep {
-		return NextStep{Lender: name, Asked: Borrow{Tenant: tenant, Waiting: 1, Ahead: known.expected(now)}}
+		return NextStep{Lender: name, Request: Borrow{Tenant: tenant, Waiting: 1, Ahead: known.expected(now)}}
 	}
 	var step NextStep
 	unanswered := ""
@@ -138,20 +138,20 @@
 			continue
 		case empty <= 0:
 			return ask(name)
-		case step.Told == 0 || empty < step.Wait:
+		case step.Exhausted == 0 || empty < step.Wait:
 			step.Wait = empty
 		}
-		step.Told++
+		step.Exhausted++
 	}
-	if unanswered != "" && 2*step.Told <= len(lenders) {
+	if unanswered != "" && 2*step.Exhausted <= len(lenders) {
 		return ask(unanswered)
 	}
 	return step
 }
 
-// Unanswered notes that a lender did not answer in time: each request beyond the others'
+// TimedOut notes that a lender did not answer in time: each request beyond the others'
 // credit would wait for it again.
-func (b *Borrower) Unanswered(now time.Time, lender string) {
+func (b *Borrower) TimedOut(now time.Time, lender string) {
 	b.unansweredUntil[lender] = now.Add(unansweredPause)
 }
 
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Home returns the lender that decides whether new programs of a tenant may begin, by
+// HomeLender returns the lender that decides whether new programs of a tenant may begin, by
 // rendezvous hashing: all gateways that know of the same voters name the same one without a
 // message. "" without lenders.
-func Home(tenant string, lenders []string) string {
+func HomeLender(tenant string, lenders []string) string {
 	home, highest := "", uint64(0)
 	for _, name := range lenders {
 		weight := xxhash.Sum64String(tenant + "/" + name)
@@ -26,18 +26,18 @@
 	b.of(now, tenant).untold.add(part, 1)
 }
 
-// Short notes that a later request of a program was refused for want of credit.
-func (b *Borrower) Short(now time.Time, tenant string) { b.of(now, tenant).untold.Short++ }
+// Rejected notes that a later request of a program was refused for want of credit.
+func (b *Borrower) Rejected(now time.Time, tenant string) { b.of(now, tenant).untold.Short++ }
 
-// NextOf is Next for a request whose part is told. The first request of a program asks the
+// NextForPart is Next for a request whose part is told. The first request of a program asks the
 // tenant's home lender before any other, until that one has answered; admitted says that it
 // has. Later ones ask the home lender first as long as it has credit, so that it knows of most.
 // A home lender that did not answer of late is passed over: the limit holds without it.
-func (b *Borrower) NextOf(now time.Time, tenant string, lenders []string, part Part, admitted bool) NextStep {
-	if part == PartUntold {
+func (b *Borrower) NextForPart(now time.Time, tenant string, lenders []string, part Part, admitted bool) NextStep {
+	if part == PartUnknown {
 		return b.Next(now, tenant, lenders)
 	}
-	home := Home(tenant, lenders)
+	home := HomeLender(tenant, lenders)
 	reached := home != "" && !now.Before(b.unansweredUntil[home])
 	known := b.of(now, tenant)
 	known.home = home
@@ -52,13 +52,13 @@
 	if step.Lender == home && part == PartLater {
 		return known.tell(now, tenant, home, part)
 	}
-	step.Asked.Ahead = 0 // only the home lender knows what is lent ahead and not used
+	step.Request.Ahead = 0 // only the home lender knows what is lent ahead and not used
 	return step
 }
 
 // tell asks the home lender, and tells it of the requests that went on here unknown to it.
 func (h *holdings) tell(now time.Time, tenant, home string, part Part) NextStep {
-	return NextStep{Lender: home, Asked: Borrow{
+	return NextStep{Lender: home, Request: Borrow{
 		Tenant: tenant, Waiting: 1, Ahead: h.expected(now), Part: part, Told: h.untold.takeOut(),
 	}}
 }
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// Counted returns what counts at present, for a log that is written anew.
-func (l *Lender) Counted(now time.Time) map[string]int {
+// Outstanding returns what counts at present, for a log that is written anew.
+func (l *Lender) Outstanding(now time.Time) map[string]int {
 	counted := map[string]int{}
 	for name, known := range l.counts {
 		if sum := known.sum(now); sum > 0 {
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -13,8 +13,8 @@
 type Part uint8
 
 const (
-	// PartUntold is what gateways ask with that do not tell the parts apart.
-	PartUntold Part = iota
+	// PartUnknown is what gateways ask with that do not tell the parts apart.
+	PartUnknown Part = iota
 	// PartFirst is the first request of a program, or one without a program.
 	PartFirst
 	// PartLater is a later request of a program.
@@ -33,16 +33,16 @@
 	}
 }
 
-// Told is what a gateway tells a tenant's home lender: the requests that went on there by their
+// Usage is what a gateway tells a tenant's home lender: the requests that went on there by their
 // part, and the allowances that other lenders lent.
-type Told struct {
+type Usage struct {
 	First, Later int
 	// Short counts later requests that were refused for want of credit, each time.
 	Short int
 	Lent  int
 }
 
-func (t *Told) add(part Part, requests int) {
+func (t *Usage) add(part Part, requests int) {
 	switch part {
 	case PartFirst:
 		t.First += requests
@@ -53,8 +53,8 @@
 
 // takeOut returns the counts and leaves what is below zero: requests that the home lender knows
 // of already and that have not gone on yet.
-func (t *Told) takeOut() Told {
-	told := Told{First: max(0, t.First), Later: max(0, t.Later), Short: t.Short, Lent: t.Lent}
+func (t *Usage) takeOut() Usage {
+	told := Usage{First: max(0, t.First), Later: max(0, t.Later), Short: t.Short, Lent: t.Lent}
 	t.First -= told.First
 	t.Later -= told.Later
 	t.Short, t.Lent = 0, 0
@@ -114,7 +114,7 @@
 // must not make programs seem longer.
 type ratio struct{ firsts, laters, short float64 }
 
-func (r *ratio) add(told Told, begun int) {
+func (r *ratio) add(told Usage, begun int) {
 	memory := max(learnedFirsts, float64(learnedWindows*begun))
 	kept := math.Pow(1-1/memory, float64(told.First))
 	r.firsts = r.firsts*kept + float64(told.First)
@@ -175,7 +175,7 @@
 }
 
 // tell counts what a gateway told, and returns the part that teaches how long programs are.
-func (a *account) tell(now time.Time, policy Policy, told Told) Told {
+func (a *account) tell(now time.Time, policy Policy, told Usage) Usage {
 	a.toldAt = now
 	a.begun.add(told.First, now.Add(policy.Window))
 	a.lent.add(told.Lent, now.Add(policy.life()+policy.Window))
@@ -208,7 +208,7 @@
 // It answers the load of programs that begin while their tenant's limit has no credit left for
 // their later requests: each such program takes credit of the others and ends unfinished.
 func (l *Lender) holdBack(now time.Time, asked Borrow, limit tenant.Limit) (Loan, bool) {
-	if asked.Part == PartUntold {
+	if asked.Part == PartUnknown {
 		return Loan{}, false
 	}
 	known := l.programsOf(now, asked.Tenant)
@@ -226,10 +226,10 @@
 
 // noteLent counts what was lent as the home lender.
 func (l *Lender) noteLent(now time.Time, asked Borrow, lent Loan) {
-	if asked.Part == PartUntold {
+	if asked.Part == PartUnknown {
 		return
 	}
-	var told Told
+	var told Usage
 	told.add(asked.Part, lent.Waiting)
 	told.Lent = lent.Waiting + lent.Ahead
 	l.tell(now, l.programsOf(now, asked.Tenant), told)
@@ -238,18 +238,18 @@
 // mayLendAhead reports whether credit may be lent ahead: what is not used of it is missing to
 // begun programs, so a home lender does so only while more than half of its share is left.
 func (l *Lender) mayLendAhead(asked Borrow, limit tenant.Limit, credit int) bool {
-	return asked.Part == PartUntold || 2*credit > l.most(limit)
+	return asked.Part == PartUnknown || 2*credit > l.most(limit)
 }
 
 // tell counts requests in a tenant's account and in what all programs teach.
-func (l *Lender) tell(now time.Time, known *account, told Told) {
+func (l *Lender) tell(now time.Time, known *account, told Usage) {
 	taught := known.tell(now, l.policy, told)
 	l.learned.add(taught, known.begun.sum(now))
 }
 
-// SetAsides returns what begun programs are likely to ask for still, by tenant, where that is a
+// Reservations returns what begun programs are likely to ask for still, by tenant, where that is a
 // request or more.
-func (l *Lender) SetAsides(now time.Time) map[string]float64 {
+func (l *Lender) Reservations(now time.Time) map[string]float64 {
 	asides := map[string]float64{}
 	for name, known := range l.programs {
 		listed := l.tenants.Named(name)
--- a/internal/quota/programs_test.go
+++ b/internal/quota/programs_test.go
@@ -124,7 +124,7 @@
 // ask lets a gateway borrow for a request as Server.borrow does.
 func (r *programRun) ask(request moment) (wait time.Duration, granted bool) {
 	gateway, now := r.gateways[r.random.IntN(len(r.gateways))], request.at
-	part := PartUntold
+	part := PartUnknown
 	if r.told {
 		part = PartLater
 		if request.done == 0 {
@@ -133,30 +133,30 @@
 	}
 	if part != PartFirst {
 		gateway.Arrived(now, "t0")
-		if gateway.Take(now, "t0") {
+		if gateway.Consume(now, "t0") {
 			gateway.Served(now, "t0", part)
 			return 0, true
 		}
 	}
 	for admitted := false; ; {
-		next := gateway.NextOf(now, "t0", r.names, part, admitted)
+		next := gateway.NextForPart(now, "t0", r.names, part, admitted)
 		if next.Lender == "" {
 			if part == PartLater {
-				gateway.Short(now, "t0")
+				gateway.Rejected(now, "t0")
 			}
 			return max(next.Wait, 20*time.Millisecond), false
 		}
-		lent, _ := r.lenders[next.Lender].Lend(now, next.Asked)
+		lent, _ := r.lenders[next.Lender].Lend(now, next.Request)
 		if next.Lender == r.deaf || r.random.Float64() < r.lost {
-			gateway.Unanswered(now, next.Lender)
+			gateway.TimedOut(now, next.Lender)
 			continue
 		}
-		admitted = admitted || next.Asked.Part == PartFirst
-		gateway.Lent(now, now, next.Lender, next.Asked, lent)
+		admitted = admitted || next.Request.Part == PartFirst
+		gateway.Lent(now, now, next.Lender, next.Request, lent)
 		if lent.Held {
 			return lent.Wait, false
 		}
-		if gateway.Take(now, "t0") {
+		if gateway.Consume(now, "t0") {
 			gateway.Served(now, "t0", part)
 			return 0, true
 		}
@@ -226,7 +226,7 @@
 // A home lender that is gone, or answers that get lost, must cost no more than not to be asked.
 func TestProgramsAreServedWithoutTheirHomeLender(t *testing.T) {
 	load := programLoad{limit: tenant.Limit{PerSecond: 60, Burst: 60}, times: 1.5, lengths: []int{6}, pause: 200 * time.Millisecond}
-	load.deaf = Home("t0", []string{"r0", "r1", "r2", "r3", "r4"})
+	load.deaf = HomeLender("t0", []string{"r0", "r1", "r2", "r3", "r4"})
 	untold, told := playBoth(load)
 	require.InEpsilon(t, untold.whole, told.whole, 0.1)
 	load.deaf, load.lost = "", 0.05
@@ -237,16 +237,16 @@
 // However wrong the forecast is, a new program begins once none began for a window.
 func TestAWrongForecastHoldsANewProgramBackForAWindowAtMost(t *testing.T) {
 	l := lenderOf(1, tenant.Limit{PerSecond: 40, Burst: 20})
-	first := func(at time.Duration, told Told) Loan {
+	first := func(at time.Duration, told Usage) Loan {
 		lent, _ := l.Lend(start.Add(at), Borrow{Tenant: "t0", Waiting: 1, Part: PartFirst, Told: told})
 		return lent
 	}
-	require.False(t, first(60*second, Told{}).Held)
-	held := first(61*second, Told{Later: 100_000})
+	require.False(t, first(60*second, Usage{}).Held)
+	held := first(61*second, Usage{Later: 100_000})
 	require.True(t, held.Held)
 	require.Equal(t, 4*second, held.Wait)
 	require.Equal(t, Forecast{Credit: 240, Begun: 1, PerProgram: 241}, held.Forecast)
-	require.Equal(t, 1, first(65*second, Told{}).Waiting)
+	require.Equal(t, 1, first(65*second, Usage{}).Waiting)
 }
 
 // A begun program is served as long as there is any credit.
@@ -261,21 +261,21 @@
 func TestAHomeLenderIsToldOnce(t *testing.T) {
 	b := NewBorrower()
 	lenders := []string{"a", "b", "c"}
-	home := Home("t", lenders)
+	home := HomeLender("t", lenders)
 	for range 3 {
 		b.Served(start, "t", PartLater)
 	}
-	b.Short(start, "t")
-	require.Equal(t, NextStep{Lender: home, Asked: Borrow{Tenant: "t", Waiting: 1, Part: PartFirst, Told: Told{Later: 3, Short: 1}}},
-		b.NextOf(start, "t", lenders, PartFirst, false))
-	asked := b.NextOf(start, "t", lenders, PartLater, false)
-	require.Equal(t, NextStep{Lender: home, Asked: Borrow{Tenant: "t", Waiting: 1, Part: PartLater}}, asked)
-	b.Lent(start, start, home, asked.Asked, Loan{Waiting: 1, Life: second})
-	require.True(t, b.Take(start, "t"))
+	b.Rejected(start, "t")
+	require.Equal(t, NextStep{Lender: home, Request: Borrow{Tenant: "t", Waiting: 1, Part: PartFirst, Told: Usage{Later: 3, Short: 1}}},
+		b.NextForPart(start, "t", lenders, PartFirst, false))
+	asked := b.NextForPart(start, "t", lenders, PartLater, false)
+	require.Equal(t, NextStep{Lender: home, Request: Borrow{Tenant: "t", Waiting: 1, Part: PartLater}}, asked)
+	b.Lent(start, start, home, asked.Request, Loan{Waiting: 1, Life: second})
+	require.True(t, b.Consume(start, "t"))
 	b.Served(start, "t", PartLater) // the home lender knows of it: it lent the allowance
-	require.Equal(t, Told{}, b.NextOf(start, "t", lenders, PartFirst, false).Asked.Told)
-	b.Unanswered(start, home)
-	require.NotEqual(t, home, b.NextOf(start, "t", lenders, PartFirst, false).Lender)
+	require.Equal(t, Usage{}, b.NextForPart(start, "t", lenders, PartFirst, false).Request.Told)
+	b.TimedOut(start, home)
+	require.NotEqual(t, home, b.NextForPart(start, "t", lenders, PartFirst, false).Lender)
 }
 
 // Most lenders were silent a moment ago and now say that they have nothing left: a request
@@ -284,12 +284,12 @@
 	b := NewBorrower()
 	lenders := []string{"a", "b"}
 	for _, name := range lenders {
-		b.Unanswered(start, name)
+		b.TimedOut(start, name)
 	}
 	for range lenders {
 		asked := b.Next(start, "t", lenders)
 		require.NotEmpty(t, asked.Lender)
-		b.Lent(start, start, asked.Lender, asked.Asked, Loan{Wait: second})
+		b.Lent(start, start, asked.Lender, asked.Request, Loan{Wait: second})
 	}
-	require.Equal(t, NextStep{Told: 2, Wait: second}, b.Next(start, "t", lenders))
+	require.Equal(t, NextStep{Exhausted: 2, Wait: second}, b.Next(start, "t", lenders))
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -67,7 +67,7 @@
 	// Part is which part of a program the waiting request is, and Told what went on at this
 	// gateway since it last asked the tenant's home lender; both are for that lender only.
 	Part Part
-	Told Told
+	Told Usage
 }
 
 // Loan answers a Borrow.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -67,11 +67,11 @@
 	require.Zero(t, lend(l, 0), "48 by the share of a set with one voter more")
 	other, _ := l.Lend(start, Borrow{Tenant: "t1", Waiting: 1000})
 	require.Equal(t, 48, other.Waiting)
-	require.Equal(t, map[string]int{"t0": 50, "t1": 48}, l.Counted(start))
+	require.Equal(t, map[string]int{"t0": 50, "t1": 48}, l.Outstanding(start))
 	require.Equal(t, 10, lend(l, 5*second))
 	require.Zero(t, lend(l, 5*second), "what was lent ahead before the restart may be used after it")
 	require.Equal(t, 50, lend(l, 6*second))
-	require.Empty(t, l.Counted(start.Add(time.Minute)))
+	require.Empty(t, l.Outstanding(start.Add(time.Minute)))
 }
 
 // What a loss of power may make a lender forget is bounded by a share of the slack.
@@ -155,16 +155,16 @@
 	b := NewBorrower()
 	lenders := []string{"a", "b"}
 	b.Arrived(start, "t")
-	require.False(t, b.Take(start, "t"))
-	require.Equal(t, NextStep{Lender: "a", Asked: Borrow{Tenant: "t", Waiting: 1}}, b.Next(start, "t", lenders))
+	require.False(t, b.Consume(start, "t"))
+	require.Equal(t, NextStep{Lender: "a", Request: Borrow{Tenant: "t", Waiting: 1}}, b.Next(start, "t", lenders))
 	b.Lent(start, start, "a", Borrow{Tenant: "t"}, Loan{Wait: 300 * time.Millisecond})
 	require.Equal(t, "b", b.Next(start, "t", lenders).Lender)
 	b.Lent(start, start, "b", Borrow{Tenant: "t"}, Loan{Wait: 200 * time.Millisecond})
-	require.Equal(t, NextStep{Told: 2, Wait: 150 * time.Millisecond}, b.Next(start.Add(50*time.Millisecond), "t", lenders))
+	require.Equal(t, NextStep{Exhausted: 2, Wait: 150 * time.Millisecond}, b.Next(start.Add(50*time.Millisecond), "t", lenders))
 	require.Equal(t, "b", b.Next(start.Add(250*time.Millisecond), "t", lenders).Lender)
 	b.Lent(start, start, "b", Borrow{Tenant: "t"}, Loan{Waiting: 1, Life: time.Second})
-	require.True(t, b.Take(start, "t"))
-	require.False(t, b.Take(start, "t"))
+	require.True(t, b.Consume(start, "t"))
+	require.False(t, b.Consume(start, "t"))
 }
 
 // A gateway that slept, or an answer that took long, must not use what its lender counts as
@@ -172,10 +172,10 @@
 func TestAnAllowanceIsNotUsedAfterItsLife(t *testing.T) {
 	b := NewBorrower()
 	b.Lent(start.Add(240*time.Millisecond), start, "a", Borrow{Tenant: "t"}, Loan{Waiting: 1, Life: 250 * time.Millisecond})
-	require.False(t, b.Take(start.Add(260*time.Millisecond), "t"), "its life began when it was asked for")
+	require.False(t, b.Consume(start.Add(260*time.Millisecond), "t"), "its life began when it was asked for")
 	b.Lent(start.Add(240*time.Millisecond), start, "a", Borrow{Tenant: "t"}, Loan{Waiting: 1, Life: 250 * time.Millisecond, Ahead: 3, AheadLife: time.Second})
-	require.True(t, b.Take(start.Add(900*time.Millisecond), "t"))
-	require.False(t, b.Take(start.Add(time.Second), "t"))
+	require.True(t, b.Consume(start.Add(900*time.Millisecond), "t"))
+	require.False(t, b.Consume(start.Add(time.Second), "t"))
 }
 
 func TestManyRequestsBorrowAhead(t *testing.T) {
@@ -185,23 +185,23 @@
 		now = now.Add(10 * time.Millisecond)
 		b.Arrived(now, "t")
 	}
-	require.InDelta(t, 87, b.Next(now, "t", []string{"a"}).Asked.Ahead, 10, "100 a second came for two spans")
-	require.Zero(t, b.Next(now.Add(time.Minute), "t", []string{"a"}).Asked.Ahead)
+	require.InDelta(t, 87, b.Next(now, "t", []string{"a"}).Request.Ahead, 10, "100 a second came for two spans")
+	require.Zero(t, b.Next(now.Add(time.Minute), "t", []string{"a"}).Request.Ahead)
 }
 
 // A voter whose machine is gone must not make each request beyond the limit wait for it.
 func TestALenderThatDoesNotAnswerIsPassedOverOnceMostHaveNoneLeft(t *testing.T) {
 	b := NewBorrower()
 	lenders := []string{"a", "b", "c"}
-	b.Unanswered(start, "a")
+	b.TimedOut(start, "a")
 	require.Equal(t, "b", b.Next(start, "t", lenders).Lender)
 	b.Lent(start, start, "b", Borrow{Tenant: "t"}, Loan{Wait: 300 * time.Millisecond})
 	require.Equal(t, "c", b.Next(start, "t", lenders).Lender)
-	b.Unanswered(start, "c")
+	b.TimedOut(start, "c")
 	require.NotEmpty(t, b.Next(start, "t", lenders).Lender, "one of three does not speak for the limit")
 	b.Lent(start, start, "c", Borrow{Tenant: "t"}, Loan{Wait: 200 * time.Millisecond})
 	delete(b.unansweredUntil, "c")
-	require.Equal(t, NextStep{Told: 2, Wait: 200 * time.Millisecond}, b.Next(start, "t", lenders))
+	require.Equal(t, NextStep{Exhausted: 2, Wait: 200 * time.Millisecond}, b.Next(start, "t", lenders))
 	require.Equal(t, "a", b.Next(start.Add(unansweredPause), "t", lenders).Lender)
 }
 
@@ -331,12 +331,12 @@
 func (s *schedule) request(now time.Time, gateway int) {
 	holder := s.gateways[gateway]
 	holder.Arrived(now, "t0")
-	if holder.Take(now, "t0") {
+	if holder.Consume(now, "t0") {
 		s.used = append(s.used, now)
 		return
 	}
-	step := holder.NextOf(now, "t0", s.names, s.part(), s.told && s.chance(0.3))
-	lender, asked := step.Lender, step.Asked
+	step := holder.NextForPart(now, "t0", s.names, s.part(), s.told && s.chance(0.3))
+	lender, asked := step.Lender, step.Request
 	if lender == "" {
 		return
 	}
@@ -357,7 +357,7 @@
 func (s *schedule) part() Part {
 	switch {
 	case !s.told:
-		return PartUntold
+		return PartUnknown
 	case s.chance(0.2):
 		return PartFirst
 	default:
@@ -371,7 +371,7 @@
 		return
 	}
 	s.gateways[gateway].Lent(now, sentAt, lender, asked, lent)
-	if s.gateways[gateway].Take(now, "t0") {
+	if s.gateways[gateway].Consume(now, "t0") {
 		s.used = append(s.used, now)
 	}
 }
@@ -457,11 +457,11 @@
 		now := start.Add(10*second + time.Duration(round)*6*second)
 		for range 18 {
 			holder.Arrived(now, "t0")
-			for !holder.Take(now, "t0") {
+			for !holder.Consume(now, "t0") {
 				step := holder.Next(now, "t0", names)
 				require.NotEmpty(t, step.Lender)
-				lent, _ := lenders[step.Lender].Lend(now, step.Asked)
-				holder.Lent(now, now, step.Lender, step.Asked, lent)
+				lent, _ := lenders[step.Lender].Lend(now, step.Request)
+				holder.Lent(now, now, step.Lender, step.Request, lent)
 			}
 		}
 	}
@@ -480,7 +480,7 @@
 	for number := range b.N {
 		name := names[number%tenants]
 		holder.Arrived(now, name)
-		if !holder.Take(now, name) {
+		if !holder.Consume(now, name) {
 			b.Fatal("no allowance")
 		}
 	}
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -102,7 +102,7 @@
 // snapshot returns records that rebuild the ledger and what counts of the lendings.
 func (s *Server) snapshot(now time.Time) []ledger.Record {
 	records := s.state.Snapshot()
-	for tenant, allowances := range s.lender.Counted(now) {
+	for tenant, allowances := range s.lender.Outstanding(now) {
 		records = append(records, s.lendingRecord(now, tenant, allowances))
 	}
 	return records
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -283,7 +283,7 @@
 		s.purgedAt = now
 		s.state.Purge(now)
 		s.options.Metrics.observeState(s.state)
-		s.options.Metrics.observeSetAsides(s.lender.SetAsides(now))
+		s.options.Metrics.observeSetAsides(s.lender.Reservations(now))
 		s.rotateIfLarge()
 	}
 }
