--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -44,14 +44,14 @@
 // KeyOf returns a tenant's key.
 func KeyOf(tenant string) Key { return max(1, Key(xxhash.Sum64String(tenant))) }
 
-// Figures are slot times in milliseconds, as they travel in reports.
-type Figures = map[Key]float64
+// Usage are slot times in milliseconds, as they travel in reports.
+type Usage = map[Key]float64
 
 // Shares counts the service that tenants had.
 type Shares struct {
 	// own is the slot time of this gateway's requests in milliseconds, which loses its weight
 	// over the window; at is when that was last applied.
-	own Figures
+	own Usage
 	at  time.Time
 	// reported is what the other gateways said.
 	reported *tally.Tally[Key]
@@ -63,7 +63,7 @@
 
 // New returns shares of which nothing is known.
 func New() *Shares {
-	return &Shares{own: Figures{}, reported: tally.New[Key](reportLife), mean: 1}
+	return &Shares{own: Usage{}, reported: tally.New[Key](reportLife), mean: 1}
 }
 
 // SetWeights replaces the weights of tenants; those without one weigh as the mean of the others.
@@ -75,8 +75,8 @@
 	s.mean = meanOf(s.weights)
 }
 
-// Served counts slot time that a request of the tenant had.
-func (s *Shares) Served(now time.Time, tenant string, slotTime time.Duration) {
+// RecordUsage counts slot time that a request of the tenant had.
+func (s *Shares) RecordUsage(now time.Time, tenant string, slotTime time.Duration) {
 	s.settle(now)
 	s.own[KeyOf(tenant)] += milliseconds(slotTime)
 }
@@ -100,34 +100,34 @@
 
 func milliseconds(span time.Duration) float64 { return span.Seconds() * 1000 }
 
-// Own returns what this gateway reports.
-func (s *Shares) Own(now time.Time) Figures {
+// LocalReport returns what this gateway reports.
+func (s *Shares) LocalReport(now time.Time) Usage {
 	s.settle(now)
 	return shorten(s.own)
 }
 
-// Zone returns what this gateway reports of its zone's gateways together.
-func (s *Shares) Zone(now time.Time) Figures {
+// ZoneReport returns what this gateway reports of its zone's gateways together.
+func (s *Shares) ZoneReport(now time.Time) Usage {
 	s.settle(now)
 	return shorten(s.reported.WithZone(now, s.own))
 }
 
-// Reported takes what a source said in place of what it said before. The figures belong to
+// ReplaceReport takes what a source said in place of what it said before. The figures belong to
 // the shares afterwards.
-func (s *Shares) Reported(now time.Time, source tally.Source, figures Figures) {
+func (s *Shares) ReplaceReport(now time.Time, source tally.Source, figures Usage) {
 	s.reported.Replace(now, source, figures)
 }
 
 // shorten keeps the heaviest tenants and adds up the others. What a tenant is missing by that is
 // at most the last of the heaviest at each gateway.
-func shorten(figures Figures) Figures {
+func shorten(figures Usage) Usage {
 	keys := slices.SortedFunc(maps.Keys(figures), func(a, b Key) int {
 		if a == others || b == others {
 			return cmp.Compare(b, a) // the entry of the others is last
 		}
 		return cmp.Or(cmp.Compare(figures[b], figures[a]), cmp.Compare(a, b))
 	})
-	short := Figures{}
+	short := Usage{}
 	for place, key := range keys {
 		if place >= heaviest {
 			key = others
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -16,10 +16,10 @@
 
 func TestATenantAboveItsShareHasAnExcess(t *testing.T) {
 	s := New()
-	s.Served(start, "hot", 700*time.Millisecond)
+	s.RecordUsage(start, "hot", 700*time.Millisecond)
 	require.Zero(t, s.Excess(start, "hot"), "nobody else asks")
-	s.Served(start, "calm", 100*time.Millisecond)
-	s.Reported(start, tally.Source{Gateway: "g"}, Figures{KeyOf("calm"): 200})
+	s.RecordUsage(start, "calm", 100*time.Millisecond)
+	s.ReplaceReport(start, tally.Source{Gateway: "g"}, Usage{KeyOf("calm"): 200})
 	require.InDelta(t, 0.4, s.Excess(start, "hot"), 0.001, "700 of 1000 in place of 500")
 	require.Zero(t, s.Excess(start, "calm"))
 	require.Zero(t, s.Excess(start, "unknown"))
@@ -30,18 +30,18 @@
 // A tenant that rested has no credit, and one that was heavy is forgiven after some windows.
 func TestNothingIsSavedUp(t *testing.T) {
 	s := New()
-	s.Served(start, "hot", time.Second)
+	s.RecordUsage(start, "hot", time.Second)
 	later := start.Add(10 * window)
-	s.Served(later, "hot", 100*time.Millisecond)
-	s.Served(later, "rested", 100*time.Millisecond)
+	s.RecordUsage(later, "hot", 100*time.Millisecond)
+	s.RecordUsage(later, "rested", 100*time.Millisecond)
 	require.InDelta(t, 0, s.Excess(later, "hot"), 0.001)
 	require.Zero(t, s.Excess(later, "rested"))
 }
 
 func TestASilentGatewayStopsCounting(t *testing.T) {
 	s := New()
-	s.Served(start, "calm", time.Second)
-	s.Reported(start, tally.Source{Gateway: "g"}, Figures{KeyOf("hot"): 3000})
+	s.RecordUsage(start, "calm", time.Second)
+	s.ReplaceReport(start, tally.Source{Gateway: "g"}, Usage{KeyOf("hot"): 3000})
 	require.Positive(t, s.Excess(start, "hot"))
 	require.Zero(t, s.Excess(start.Add(reportLife+time.Millisecond), "hot"))
 }
@@ -50,9 +50,9 @@
 func TestReportsAreBounded(t *testing.T) {
 	s := New()
 	for number := range 500 {
-		s.Served(start, fmt.Sprint("t", number), time.Duration(number+1)*time.Millisecond)
+		s.RecordUsage(start, fmt.Sprint("t", number), time.Duration(number+1)*time.Millisecond)
 	}
-	told := s.Own(start)
+	told := s.LocalReport(start)
 	require.Len(t, told, heaviest+1)
 	require.Equal(t, 500.0, told[KeyOf("t499")])
 	sum := 0.0
@@ -60,9 +60,9 @@
 		sum += served
 	}
 	require.Equal(t, 125_250.0, sum)
-	s.Reported(start, tally.Source{Gateway: "g"}, told)
-	require.Len(t, s.Zone(start), heaviest+1)
-	require.Equal(t, 1000.0, s.Zone(start)[KeyOf("t499")])
+	s.ReplaceReport(start, tally.Source{Gateway: "g"}, told)
+	require.Len(t, s.ZoneReport(start), heaviest+1)
+	require.Equal(t, 1000.0, s.ZoneReport(start)[KeyOf("t499")])
 }
 
 // contest is tenants whose programs compete for slots at several gateways. Reports between the
@@ -90,7 +90,7 @@
 type reported struct {
 	at       time.Time
 	from, to int
-	figures  Figures
+	figures  Usage
 }
 
 const (
@@ -135,7 +135,7 @@
 			to := (from + 1 + c.random.IntN(len(c.gateways)-1)) % len(c.gateways)
 			for range copies {
 				late := time.Duration(c.random.IntN(300)) * time.Millisecond
-				c.flying = append(c.flying, reported{at: at.Add(late), from: from, to: to, figures: gateway.Own(at)})
+				c.flying = append(c.flying, reported{at: at.Add(late), from: from, to: to, figures: gateway.LocalReport(at)})
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 		if r.at.After(at) {
 			return false
 		}
-		c.gateways[r.to].Reported(at, tally.Source{Gateway: fmt.Sprint(r.from)}, r.figures)
+		c.gateways[r.to].ReplaceReport(at, tally.Source{Gateway: fmt.Sprint(r.from)}, r.figures)
 		return true
 	})
 }
@@ -156,7 +156,7 @@
 	taken := c.waiting[chosen]
 	c.waiting = slices.Delete(c.waiting, chosen, chosen+1)
 	c.ends = append(c.ends, at.Add(slotTime))
-	c.gateways[taken.gateway].Served(at, taken.tenant, slotTime)
+	c.gateways[taken.gateway].RecordUsage(at, taken.tenant, slotTime)
 	c.delays[taken.tenant] = append(c.delays[taken.tenant], at.Sub(taken.at))
 }
 
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -58,7 +58,7 @@
 	}
 	s.shares.mu.Lock()
 	defer s.shares.mu.Unlock()
-	s.shares.shares.Served(now, r.tenant.Name, took)
+	s.shares.shares.RecordUsage(now, r.tenant.Name, took)
 }
 
 // tenantExcess returns how far above its fair share the tenant of a new program is: 0 within
@@ -100,13 +100,13 @@
 func (p *shareSection) own(now time.Time) []byte {
 	p.shares.mu.Lock()
 	defer p.shares.mu.Unlock()
-	return encodeFigures(p.shares.shares.Own(now))
+	return encodeFigures(p.shares.shares.LocalReport(now))
 }
 
 func (p *shareSection) zone(now time.Time) []byte {
 	p.shares.mu.Lock()
 	defer p.shares.mu.Unlock()
-	return encodeFigures(p.shares.shares.Zone(now))
+	return encodeFigures(p.shares.shares.ZoneReport(now))
 }
 
 func (p *shareSection) take(now time.Time, source tally.Source, version tally.Version, encoded []byte) {
@@ -119,5 +119,5 @@
 	}
 	p.shares.mu.Lock()
 	defer p.shares.mu.Unlock()
-	p.shares.shares.Reported(now, source, figures)
+	p.shares.shares.ReplaceReport(now, source, figures)
 }
--- a/internal/gateway/fairshare_test.go
+++ b/internal/gateway/fairshare_test.go
@@ -22,8 +22,8 @@
 func TestATenantAboveItsShareGoesAfterOthers(t *testing.T) {
 	here, there := sharesOf(), sharesOf()
 	now := time.Now()
-	there.shares.Served(now, "hot", 900*time.Millisecond)
-	there.shares.Served(now, "calm", 100*time.Millisecond)
+	there.shares.RecordUsage(now, "hot", 900*time.Millisecond)
+	there.shares.RecordUsage(now, "calm", 100*time.Millisecond)
 	section := (&Server{shares: here}).ShareSection()
 	source := tally.Source{Gateway: "there"}
 	section.take(now, source, tally.Version{Number: 2}, (&shareSection{shares: there}).own(now))
@@ -43,7 +43,7 @@
 	shares := sharesOf()
 	now := time.Now()
 	for number := range 9700 {
-		shares.shares.Served(now, fmt.Sprint("tenant-", number), time.Duration(number)*time.Millisecond)
+		shares.shares.RecordUsage(now, fmt.Sprint("tenant-", number), time.Duration(number)*time.Millisecond)
 	}
 	size := len((&shareSection{shares: shares}).own(now))
 	t.Logf("%d bytes", size)
