--- a/internal/gateway/heldmemory.go
+++ b/internal/gateway/heldmemory.go
@@ -54,13 +54,13 @@
 // holding is what one request holds; nil where nothing is bounded.
 type holding struct {
 	memory *heldMemory
-	held   *memorybudget.Holding
+	held   *memorybudget.Reservation
 }
 
 // grow counts further bytes, unless they do not fit.
 func (h *holding) grow(bytes int) memorybudget.Bound {
 	if h == nil {
-		return memorybudget.Within
+		return memorybudget.WithinLimits
 	}
 	h.memory.mu.Lock()
 	defer h.memory.mu.Unlock()
@@ -92,7 +92,7 @@
 
 func (r growingReader) Read(buffer []byte) (int, error) {
 	read, err := r.source.Read(buffer)
-	if bound := r.held.grow(read * r.copies); bound != memorybudget.Within {
+	if bound := r.held.grow(read * r.copies); bound != memorybudget.WithinLimits {
 		return 0, &memoryError{bound: bound}
 	}
 	return read, err
@@ -111,9 +111,9 @@
 		return nil
 	}
 	s.held.mu.Lock()
-	begun, bound := s.held.budget.Begin(r.tenantName(), requestBytes+int64(headerBytes))
+	begun, bound := s.held.budget.Reserve(r.tenantName(), requestBytes+int64(headerBytes))
 	s.held.mu.Unlock()
-	if bound != memorybudget.Within {
+	if bound != memorybudget.WithinLimits {
 		return s.refuseHeld(r, bound)
 	}
 	r.held = &holding{memory: s.held, held: begun}
--- a/internal/gateway/slowreader_test.go
+++ b/internal/gateway/slowreader_test.go
@@ -154,7 +154,7 @@
 	var callers []net.Conn
 	for i := range readers {
 		callers = append(callers, askSlowly(t, address, i))
-		require.LessOrEqual(t, s.held.held(), float64(memorybudget.LimitsOf(heldBytes).All))
+		require.LessOrEqual(t, s.held.held(), float64(memorybudget.LimitsOf(heldBytes).Total))
 	}
 	served, refused := 0, 0
 	for _, caller := range callers {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -62,7 +62,7 @@
 		s.refuse(w, r, refused)
 		return
 	}
-	if bound := t.held.grow(bodyCopies * (len(t.body) - len(t.input))); bound != memorybudget.Within {
+	if bound := t.held.grow(bodyCopies * (len(t.body) - len(t.input))); bound != memorybudget.WithinLimits {
 		s.settle(t)
 		s.refuse(w, r, s.refuseHeld(r, bound))
 		return
@@ -273,7 +273,7 @@
 // be no memory for that.
 func (s *Server) take(t *turn, event event) *backend.Failure {
 	if t.route.Retained {
-		if bound := t.held.grow(len(event.data) + 1); bound != memorybudget.Within {
+		if bound := t.held.grow(len(event.data) + 1); bound != memorybudget.WithinLimits {
 			s.logHeld(t.request, bound, true)
 			return &backend.Failure{Verdict: verdict.Ran, Reason: (&memoryError{bound: bound}).Error()}
 		}
--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -10,14 +10,14 @@
 type Bound uint8
 
 const (
-	// Within says that no limit was reached.
-	Within Bound = iota
-	// All is the limit of all requests together.
-	All
-	// OfTenant is the limit of one tenant's requests.
-	OfTenant
-	// OfRequest is the limit of one request.
-	OfRequest
+	// WithinLimits says that no limit was reached.
+	WithinLimits Bound = iota
+	// TotalBound is the limit of all requests together.
+	TotalBound
+	// TenantBound is the limit of one tenant's requests.
+	TenantBound
+	// RequestBound is the limit of one request.
+	RequestBound
 )
 
 // String returns the bound's name in logs and metrics.
@@ -27,9 +27,9 @@
 
 // Limits are how many bytes may be held.
 type Limits struct {
-	// All is for requests that have begun; Admitted is up to where further ones begin, so that
+	// Total is for requests that have begun; Admission is up to where further ones begin, so that
 	// those have room to grow.
-	All, Admitted int64
+	Total, Admission int64
 	// Tenant and Request bound one tenant's requests and one request.
 	Tenant, Request int64
 }
@@ -38,7 +38,7 @@
 // rest to all others, and a request an eighth, so that a handful of large ones fit. A quarter
 // is left for the growth of what has begun.
 func LimitsOf(all int64) Limits {
-	return Limits{All: all, Admitted: all - all/4, Tenant: all / 2, Request: all / 8}
+	return Limits{Total: all, Admission: all - all/4, Tenant: all / 2, Request: all / 8}
 }
 
 // Budget counts what is held. It is not safe for concurrent use.
@@ -56,46 +56,46 @@
 // Held returns how many bytes are held in all.
 func (b *Budget) Held() int64 { return b.all }
 
-// Holding is what one request holds.
-type Holding struct {
+// Reservation is what one request holds.
+type Reservation struct {
 	budget *Budget
 	tenant string
 	bytes  int64
 }
 
-// Begin counts a new request of a tenant, "" where there are none, with what it holds at once.
+// Reserve counts a new request of a tenant, "" where there are none, with what it holds at once.
 // It returns nil and the bound where that does not fit.
-func (b *Budget) Begin(tenant string, bytes int64) (*Holding, Bound) {
-	if b.all+bytes > b.limits.Admitted {
-		return nil, All
+func (b *Budget) Reserve(tenant string, bytes int64) (*Reservation, Bound) {
+	if b.all+bytes > b.limits.Admission {
+		return nil, TotalBound
 	}
-	begun := &Holding{budget: b, tenant: tenant}
-	if bound := begun.Grow(bytes); bound != Within {
+	begun := &Reservation{budget: b, tenant: tenant}
+	if bound := begun.Grow(bytes); bound != WithinLimits {
 		return nil, bound
 	}
-	return begun, Within
+	return begun, WithinLimits
 }
 
 // Grow counts further bytes of a request that has begun. It counts none of them where they do
 // not fit, and returns the bound.
-func (h *Holding) Grow(bytes int64) Bound {
+func (h *Reservation) Grow(bytes int64) Bound {
 	b := h.budget
 	switch {
 	case h.bytes+bytes > b.limits.Request:
-		return OfRequest
+		return RequestBound
 	case h.tenant != "" && b.byTenant[h.tenant]+bytes > b.limits.Tenant:
-		return OfTenant
-	case b.all+bytes > b.limits.All:
-		return All
+		return TenantBound
+	case b.all+bytes > b.limits.Total:
+		return TotalBound
 	}
 	h.add(bytes)
-	return Within
+	return WithinLimits
 }
 
 // Release counts the request's bytes no longer. A second call does nothing.
-func (h *Holding) Release() { h.add(-h.bytes) }
+func (h *Reservation) Release() { h.add(-h.bytes) }
 
-func (h *Holding) add(bytes int64) {
+func (h *Reservation) add(bytes int64) {
 	h.bytes += bytes
 	h.budget.all += bytes
 	if h.tenant == "" {
--- a/internal/memorybudget/memorybudget_test.go
+++ b/internal/memorybudget/memorybudget_test.go
@@ -12,13 +12,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limits := LimitsOf(1 << 20)
 		budget := New(limits)
-		var open []*Holding
+		var open []*Reservation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			bytes := rapid.Int64Range(0, limits.Request).Draw(t, "bytes")
 			switch rapid.SampledFrom([]string{"begin", "grow", "release"}).Draw(t, "step") {
 			case "begin":
 				tenant := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant")
-				if begun, bound := budget.Begin(tenant, bytes); bound == Within {
+				if begun, bound := budget.Reserve(tenant, bytes); bound == WithinLimits {
 					open = append(open, begun)
 				}
 			case "grow":
@@ -39,7 +39,7 @@
 				byTenant[each.tenant] += each.bytes
 			}
 			require.Equal(t, sum, budget.Held())
-			require.LessOrEqual(t, sum, limits.All)
+			require.LessOrEqual(t, sum, limits.Total)
 			require.LessOrEqual(t, byTenant["a"], limits.Tenant)
 			require.LessOrEqual(t, byTenant["b"], limits.Tenant)
 		}
@@ -54,18 +54,18 @@
 func TestATenantLeavesRoomForOthersAndNewRequestsForBegunOnes(t *testing.T) {
 	budget := New(LimitsOf(800))
 	var bound Bound
-	for bound == Within {
-		_, bound = budget.Begin("hot", 50)
+	for bound == WithinLimits {
+		_, bound = budget.Reserve("hot", 50)
 	}
-	require.Equal(t, OfTenant, bound)
-	begun, bound := budget.Begin("other", 100)
-	require.Equal(t, Within, bound)
-	for bound == Within {
-		_, bound = budget.Begin("other", 10)
+	require.Equal(t, TenantBound, bound)
+	begun, bound := budget.Reserve("other", 100)
+	require.Equal(t, WithinLimits, bound)
+	for bound == WithinLimits {
+		_, bound = budget.Reserve("other", 10)
 	}
-	require.Equal(t, All, bound)
-	require.Equal(t, OfRequest, begun.Grow(1))
-	small, bound := budget.Begin("third", 0)
-	require.Equal(t, Within, bound)
-	require.Equal(t, Within, small.Grow(100), "what has begun may grow")
+	require.Equal(t, TotalBound, bound)
+	require.Equal(t, RequestBound, begun.Grow(1))
+	small, bound := budget.Reserve("third", 0)
+	require.Equal(t, WithinLimits, bound)
+	require.Equal(t, WithinLimits, small.Grow(100), "what has begun may grow")
 }
