--- a/internal/backend/barred.go
+++ b/internal/backend/barred.go
@@ -112,5 +112,5 @@
 
 // isHome reports whether the request may run where the instance stands.
 func (d Demand) isHome(known *member, places place.Map) bool {
-	return d.Homes.Allow(places.Region(known.instance.Zone))
+	return d.Homes.Allows(places.Region(known.instance.Zone))
 }
--- a/internal/backend/barred_test.go
+++ b/internal/backend/barred_test.go
@@ -109,7 +109,7 @@
 		{inZones(2, "a", "b"), nil, Demand{Homes: south}, NotBarred},
 		{inZones(2, "a"), nil, Demand{Homes: south}, BarredByHomes},
 		{inZones(2, "unlisted"), nil, Demand{Homes: south}, BarredByHomes},
-		{inZones(2, "a", "b"), nil, Demand{Homes: south.And(north)}, BarredByHomes},
+		{inZones(2, "a", "b"), nil, Demand{Homes: south.Intersect(north)}, BarredByHomes},
 		{inZones(2, "a", "b"), []string{"b"}, Demand{Homes: south}, BarredByEvacuation},
 		{inZones(2, "a", "b"), []string{"a"}, Demand{Only: "e00"}, BarredByEvacuation},
 		{inZones(2, "a", "b"), []string{"a"}, Demand{Only: "gone"}, NotBarred},
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -92,9 +92,9 @@
 	store := platform.NewStore(config.StoreAddress, metrics.StoreCall, process.storeCallFailed)
 	knowledge := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleGateway, Seeds: config.Seeds, FirstStart: config.FirstStart, Store: store,
-		Metrics: metrics, Traffic: sent, Log: process.log, StoreFailed: process.storeCallFailed,
+		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
 		Evacuations:  config.EvacuationLimit > 0,
-		StoreContact: func(err error) { process.contact("store", err) },
+		StoreStateChanged: func(err error) { process.contact("store", err) },
 		Handlers: feed.Handlers{
 			Status: server.KnowledgeChanged, Configuration: server.ConfigurationChanged, Instances: server.InstancesChanged,
 			Evacuations: server.EvacuationsChanged,
--- a/internal/command/replica.go
+++ b/internal/command/replica.go
@@ -55,9 +55,9 @@
 	starting := &startingReplica{}
 	knowledge := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleReplica, Store: store,
-		Metrics: metrics, Traffic: sent, Log: process.log, StoreFailed: process.storeCallFailed,
+		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
 		Evacuations:  config.EvacuationLimit > 0,
-		StoreContact: func(err error) { process.contact("store", err) },
+		StoreStateChanged: func(err error) { process.contact("store", err) },
 		Handlers: feed.Handlers{
 			Status: starting.knowledgeChanged, Members: starting.membersChanged, Retirements: starting.retirementsChanged, Configuration: starting.configurationChanged,
 		},
--- a/internal/feed/informer.go
+++ b/internal/feed/informer.go
@@ -76,7 +76,7 @@
 		case err == nil:
 			pause = retryFirst
 			wait.For(ctx, i.pacer.next(time.Now()))
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryExpired):
 			i.forgotten = true
 		case errors.Is(err, context.Canceled): // the monitor wants a new watch
 		default:
--- a/internal/feed/monitor.go
+++ b/internal/feed/monitor.go
@@ -110,7 +110,7 @@
 	defer cancel()
 	position := m.known.position(informer.kind)
 	records, _, err := m.store.Watch(ctx, informer.kind, position.At, 0, true)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryExpired) {
 		informer.restart()
 		return nil
 	}
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -109,10 +109,10 @@
 	// Traffic counts what is sent to processes that follow this one.
 	Traffic *traffic.Counter
 	Log     *log.Logger
-	// StoreContact is told that the store is lost to this process while it reads it, or
+	// StoreStateChanged is told that the store is lost to this process while it reads it, or
 	// reached again; StoreFailed of each call to the store that failed.
-	StoreContact func(err error)
-	StoreFailed  func(kind string, err error)
+	StoreStateChanged func(err error)
+	StoreCallFailed  func(kind string, err error)
 }
 
 // asker is a process that polls this one.
--- a/internal/feed/read.go
+++ b/internal/feed/read.go
@@ -63,13 +63,13 @@
 
 func (k *storeKnowledge) contact(err error) {
 	(*Node)(k).step(func(now time.Time) Output[asker] { return k.core.StoreContact(now, err != nil) })
-	if k.options.StoreContact != nil {
-		k.options.StoreContact(err)
+	if k.options.StoreStateChanged != nil {
+		k.options.StoreStateChanged(err)
 	}
 }
 
 func (k *storeKnowledge) callFailed(kind Kind, err error) {
-	if k.options.StoreFailed != nil {
-		k.options.StoreFailed(kind.String(), err)
+	if k.options.StoreCallFailed != nil {
+		k.options.StoreCallFailed(kind.String(), err)
 	}
 }
--- a/internal/feed/reader.go
+++ b/internal/feed/reader.go
@@ -8,9 +8,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// ErrHistoryGone says that the store has forgotten the changes after a revision: the kind
+// ErrHistoryExpired says that the store has forgotten the changes after a revision: the kind
 // must be listed again.
-var ErrHistoryGone = errors.New("feed: the store has forgotten the history after this revision")
+var ErrHistoryExpired = errors.New("feed: the store has forgotten the history after this revision")
 
 // Store is the operators' shared store.
 type Store interface {
--- a/internal/feed/record.go
+++ b/internal/feed/record.go
@@ -92,8 +92,8 @@
 // The states of a retirement, in their order.
 const (
 	NotRetiring RetirementState = iota
-	// RetirementAsked means that the operator asked and the machine did not confirm.
-	RetirementAsked
+	// RetirementRequested means that the operator asked and the machine did not confirm.
+	RetirementRequested
 	// RetirementRunning means that the machine is being emptied.
 	RetirementRunning
 	// RetirementCompleted means that it holds nothing that is needed.
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -77,7 +77,7 @@
 	if shown {
 		digest := tenant.DigestOf(key)
 		r.keyFingerprint = digest.Fingerprint()
-		r.tenant = r.table.Tenants.Holder(digest)
+		r.tenant = r.table.Tenants.ByKey(digest)
 	}
 	switch {
 	case r.tenant != nil || r.route.Public:
--- a/internal/gateway/instancespeed.go
+++ b/internal/gateway/instancespeed.go
@@ -36,7 +36,7 @@
 	if r.service.Generates {
 		return s.loadControlled(r)
 	}
-	return s.options.LoadControl || r.table.MostStreamAttempts() > 1
+	return s.options.LoadControl || r.table.MaxStreamAttempts() > 1
 }
 
 // speedSection tells other gateways what this one observed of instances' speeds. It sends nothing
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -93,7 +93,7 @@
 		Deadline:      r.deadline,
 		Objective:     r.arrived.Add(r.route.Objective),
 		ObjectiveTime: r.route.Objective,
-		RouteRank:     r.table.RankOf(r.route, r.service.Name),
+		RouteRank:     r.table.RelativePriority(r.route, r.service.Name),
 	}
 	if r.tenant != nil {
 		request.TenantRank = r.tenant.Priority + excessRank(s.tenantExcess(r))
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -24,7 +24,7 @@
 func (r *request) homes() place.Homes {
 	homes := r.route.Homes
 	if r.tenant != nil {
-		homes = homes.And(r.tenant.Homes)
+		homes = homes.Intersect(r.tenant.Homes)
 	}
 	return homes
 }
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -48,7 +48,7 @@
 
 // programKind returns the kind of the request's program.
 func (r *request) programKind() admission.Kind {
-	return admission.Kind{Service: r.service.Name, Route: r.route.Name, Rank: r.table.RankOf(r.route, r.service.Name)}
+	return admission.Kind{Service: r.service.Name, Route: r.route.Name, Rank: r.table.RelativePriority(r.route, r.service.Name)}
 }
 
 // mayBegin reports whether the program of a first request may begin now. Once admitted it stays
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -82,9 +82,9 @@
 	return Homes{Limited: true, Regions: slices.Clone(regions)}
 }
 
-// And returns the limit under which both hold. It may leave no region at all, and then
+// Intersect returns the limit under which both hold. It may leave no region at all, and then
 // nothing may handle the request.
-func (h Homes) And(other Homes) Homes {
+func (h Homes) Intersect(other Homes) Homes {
 	switch {
 	case !h.Limited:
 		return other
@@ -100,6 +100,6 @@
 	return both
 }
 
-// Allow reports whether a region is within the limit. A region that is not known is not
+// Allows reports whether a region is within the limit. A region that is not known is not
 // within any.
-func (h Homes) Allow(region string) bool { return !h.Limited || slices.Contains(h.Regions, region) }
+func (h Homes) Allows(region string) bool { return !h.Limited || slices.Contains(h.Regions, region) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -18,14 +18,14 @@
 
 func TestHomesBindTogether(t *testing.T) {
 	anywhere, first, second := Homes{}, HomesOf([]string{"a", "b"}), HomesOf([]string{"b", "c"})
-	require.True(t, anywhere.Allow("z"))
+	require.True(t, anywhere.Allows("z"))
 	require.False(t, HomesOf(nil).Limited)
-	require.True(t, first.And(anywhere).Allow("a"))
-	both := first.And(second)
-	require.True(t, both.Allow("b"))
-	require.False(t, both.Allow("a"))
-	require.False(t, both.Allow(""))
-	nowhere := first.And(HomesOf([]string{"c"}))
+	require.True(t, first.Intersect(anywhere).Allows("a"))
+	both := first.Intersect(second)
+	require.True(t, both.Allows("b"))
+	require.False(t, both.Allows("a"))
+	require.False(t, both.Allows(""))
+	nowhere := first.Intersect(HomesOf([]string{"c"}))
 	require.True(t, nowhere.Limited)
-	require.False(t, nowhere.Allow("a"))
+	require.False(t, nowhere.Allows("a"))
 }
--- a/internal/quorum/cells.go
+++ b/internal/quorum/cells.go
@@ -144,7 +144,7 @@
 	defer c.mu.RUnlock()
 	own := c.places.Region(c.zone)
 	if len(c.layout.Regions) == 0 {
-		if len(c.cells) == 0 || !homes.Allow(own) {
+		if len(c.cells) == 0 || !homes.Allows(own) {
 			return nil
 		}
 		return c.cells[replicaset.CellOf(program, len(c.cells))]
@@ -153,7 +153,7 @@
 	var first *Client
 	for _, region := range append([]string{own}, c.regions()...) {
 		client := c.inRegion(program, region)
-		if client == nil || !homes.Allow(region) {
+		if client == nil || !homes.Allows(region) {
 			continue
 		}
 		if client.serves(now) {
@@ -177,7 +177,7 @@
 	defer c.mu.RUnlock()
 	for _, region := range c.regions() {
 		client := c.inRegion(program, region)
-		if client != of && homes.Allow(region) && client.serves(now) {
+		if client != of && homes.Allows(region) && client.serves(now) {
 			return client
 		}
 	}
@@ -275,7 +275,7 @@
 	defer c.mu.RUnlock()
 	var clients []*Client
 	for cell, client := range c.cells {
-		if len(c.layout.Regions) == 0 || homes.Allow(c.layout.Region(cell)) {
+		if len(c.layout.Regions) == 0 || homes.Allows(c.layout.Region(cell)) {
 			clients = append(clients, client)
 		}
 	}
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -120,7 +120,7 @@
 // Lend answers a gateway. sync says that the answer must wait until the lending is on the
 // disk.
 func (l *Lender) Lend(now time.Time, asked Borrow) (lent Loan, sync bool) {
-	listed := l.tenants.Named(asked.Tenant)
+	listed := l.tenants.ByName(asked.Tenant)
 	l.settleShare(now)
 	switch {
 	case listed == nil || l.adopted.voters == 0:
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -252,7 +252,7 @@
 func (l *Lender) SetAsides(now time.Time) map[string]float64 {
 	asides := map[string]float64{}
 	for name, known := range l.programs {
-		listed := l.tenants.Named(name)
+		listed := l.tenants.ByName(name)
 		if listed == nil || !listed.Limit.Limited() {
 			continue
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -102,7 +102,7 @@
 	require.True(t, ask("unknown").Unable)
 	l.SetVoters(start, -1, 3)
 	l.SetVoters(start.Add(second), -1, 3)
-	require.True(t, NewLender(policy).tenants.Named("t0") == nil)
+	require.True(t, NewLender(policy).tenants.ByName("t0") == nil)
 }
 
 // Voters that do not know yet that one of them was left out lend by the old share.
--- a/internal/replica/retirement.go
+++ b/internal/replica/retirement.go
@@ -22,7 +22,7 @@
 		if s.members.leaving {
 			return
 		}
-		if state == feed.RetirementAsked {
+		if state == feed.RetirementRequested {
 			s.reportRetirement(feed.RetirementRunning)
 		}
 		s.Leave(func() { s.reportRetirement(feed.RetirementCompleted) })
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -161,17 +161,17 @@
 	}
 }
 
-// RankOf returns how much less urgent a route's requests are than the most urgent ones of
+// RelativePriority returns how much less urgent a route's requests are than the most urgent ones of
 // the same service.
-func (t *Table) RankOf(route *Route, service string) int {
+func (t *Table) RelativePriority(route *Route, service string) int {
 	return max(0, route.Priority-t.mostUrgent[service])
 }
 
 // StreamAttempts returns how many instances may run one streaming request of the service at most.
 func (t *Table) StreamAttempts(service string) int { return t.mostAttempts[service] }
 
-// MostStreamAttempts returns the largest StreamAttempts of all services.
-func (t *Table) MostStreamAttempts() int {
+// MaxStreamAttempts returns the largest StreamAttempts of all services.
+func (t *Table) MaxStreamAttempts() int {
 	most := 0
 	for _, attempts := range t.mostAttempts {
 		most = max(most, attempts)
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -78,16 +78,16 @@
 	return i.tenants
 }
 
-// Holder returns the tenant that holds the key, or nil.
-func (i *Index) Holder(key KeyDigest) *Tenant {
+// ByKey returns the tenant that holds the key, or nil.
+func (i *Index) ByKey(key KeyDigest) *Tenant {
 	if i == nil {
 		return nil
 	}
 	return i.byKey[key]
 }
 
-// Named returns the tenant of that name, or nil.
-func (i *Index) Named(name string) *Tenant {
+// ByName returns the tenant of that name, or nil.
+func (i *Index) ByName(name string) *Tenant {
 	if i == nil {
 		return nil
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -13,12 +13,12 @@
 		{Name: "b", Keys: []KeyDigest{DigestOf("two"), DigestOf("three")}},
 		{Name: "without keys"},
 	})
-	require.Equal(t, "a", index.Holder(DigestOf("one")).Name)
-	require.Equal(t, "a", index.Holder(DigestOf("two")).Name, "the first holds a key that stands twice")
-	require.Equal(t, "b", index.Holder(DigestOf("three")).Name)
-	require.Nil(t, index.Holder(DigestOf("four")))
-	require.NotNil(t, index.Named("without keys"))
-	require.Nil(t, (*Index)(nil).Holder(DigestOf("one")))
+	require.Equal(t, "a", index.ByKey(DigestOf("one")).Name)
+	require.Equal(t, "a", index.ByKey(DigestOf("two")).Name, "the first holds a key that stands twice")
+	require.Equal(t, "b", index.ByKey(DigestOf("three")).Name)
+	require.Nil(t, index.ByKey(DigestOf("four")))
+	require.NotNil(t, index.ByName("without keys"))
+	require.Nil(t, (*Index)(nil).ByKey(DigestOf("one")))
 }
 
 func TestOnlyOneBearerKeyIsTaken(t *testing.T) {
