--- a/internal/backend/restriction_test.go
+++ b/internal/backend/restriction_test.go
@@ -109,7 +109,7 @@
 		{inZones(2, "a", "b"), nil, Demand{Homes: south}, NotRestricted},
 		{inZones(2, "a"), nil, Demand{Homes: south}, RestrictedByHomes},
 		{inZones(2, "unlisted"), nil, Demand{Homes: south}, RestrictedByHomes},
-		{inZones(2, "a", "b"), nil, Demand{Homes: south.And(north)}, RestrictedByHomes},
+		{inZones(2, "a", "b"), nil, Demand{Homes: south.Intersect(north)}, RestrictedByHomes},
 		{inZones(2, "a", "b"), []string{"b"}, Demand{Homes: south}, RestrictedByEvacuation},
 		{inZones(2, "a", "b"), []string{"a"}, Demand{Pinned: "e00"}, RestrictedByEvacuation},
 		{inZones(2, "a", "b"), []string{"a"}, Demand{Pinned: "gone"}, NotRestricted},
