--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -117,7 +117,7 @@
 // down must neither make each such request wait for it nor hide when there is credit again.
 func (s *Server) borrow(ctx context.Context, r *request, part quota.Part) *refusal {
 	name := r.tenant.Name
-	cell := s.replicas.OfTenant(name)
+	cell := s.replicas.ForTenant(name)
 	if cell == nil {
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known yet")
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -137,7 +137,7 @@
 )
 
 // escrow counts a decision on a turn's budget.
-func (m *Metrics) escrow(grant quorum.Grant, everywhere bool) {
+func (m *Metrics) escrow(grant quorum.EscrowDecision, everywhere bool) {
 	asked := askedOwnRegion
 	if everywhere {
 		asked = askedEveryRegion
--- a/internal/gateway/reservation_test.go
+++ b/internal/gateway/reservation_test.go
@@ -70,7 +70,7 @@
 			recorder := httptest.NewRecorder()
 			s.handle(recorder, request)
 			require.Equal(t, test.status, recorder.Code, recorder.Body.String())
-			require.Eventually(t, func() bool { return s.replicas.Pending() == 0 }, 20*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return s.replicas.PendingOperations() == 0 }, 20*time.Second, time.Millisecond)
 		})
 	}
 }
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -26,7 +26,7 @@
 	if t.program == "" && t.previous == "" {
 		return nil
 	}
-	t.cell = s.replicas.Of(t.header.Get(s.dialect.Program), t.homes())
+	t.cell = s.replicas.ForProgram(t.header.Get(s.dialect.Program), t.homes())
 	if t.cell == nil {
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known where the turn may be kept")
 	}
@@ -62,10 +62,10 @@
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered")
 	}
 	t.reservation = reservation
-	t.outcome.others = reservation.Others
+	t.outcome.others = reservation.OtherTurnTokens
 	t.outcome.epoch = t.cell.Epoch()
 	if t.previous != "" && !reservation.Found && !reservation.Foreign {
-		t.ancestors = s.replicas.ChainElsewhere(ctx, t.header.Get(s.dialect.Program), t.previous, t.homes())
+		t.ancestors = s.replicas.ChainFromOtherCells(ctx, t.header.Get(s.dialect.Program), t.previous, t.homes())
 	}
 	if t.continuesForeign() {
 		return &refusal{status: http.StatusNotFound, code: verdict.CodeNotFound, reason: "the previous turn is another tenant's"}
@@ -81,7 +81,7 @@
 // just lost its quorum.
 func (s *Server) reserveNear(ctx context.Context, t *turn, asked ledger.Reserve) (*quorum.Reservation, error) {
 	program := t.header.Get(s.dialect.Program)
-	if len(s.replicas.OfAllRegions(program)) < 2 {
+	if len(s.replicas.ForProgramInAllRegions(program)) < 2 {
 		return t.cell.Reserve(ctx, asked)
 	}
 	near, cancel := context.WithTimeout(ctx, nearTimeout)
@@ -90,7 +90,7 @@
 	if err == nil {
 		return reservation, nil
 	}
-	other := s.replicas.Instead(t.cell, program, t.homes())
+	other := s.replicas.Failover(t.cell, program, t.homes())
 	if other == nil {
 		return t.cell.Reserve(ctx, asked)
 	}
@@ -103,15 +103,15 @@
 // alone, or by the charges of all regions.
 func (s *Server) reserveBudget(ctx context.Context, t *turn, asked ledger.Reserve) *refusal {
 	budget, _ := strconv.ParseInt(t.header.Get(s.dialect.TokenBudget), 10, 64)
-	escrow := quorum.Escrow{Budget: budget, Most: t.most, Regions: len(s.replicas.OfAllRegions(t.program))}
-	grant := escrow.InOwnRegion(t.reservation.Others)
+	escrow := quorum.Escrow{Budget: budget, MaxTurnTokens: t.most, Regions: len(s.replicas.ForProgramInAllRegions(t.program))}
+	grant := escrow.DecideInOwnRegion(t.reservation.OtherTurnTokens)
 	if grant == quorum.AskEveryRegion {
 		t.everywhere, t.outcome.everywhere = true, true
-		if err := s.replicas.ReserveElsewhere(ctx, t.reservation, asked); err != nil {
+		if err := s.replicas.ReserveInOtherRegions(ctx, t.reservation, asked); err != nil {
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas of other regions answered on the program's budget")
 		}
-		t.outcome.others = t.reservation.Others
-		grant = escrow.InEveryRegion(t.reservation.Others)
+		t.outcome.others = t.reservation.OtherTurnTokens
+		grant = escrow.DecideInAllRegions(t.reservation.OtherTurnTokens)
 	}
 	s.metrics.escrow(grant, t.outcome.everywhere)
 	if grant == quorum.Exhausted {
@@ -132,7 +132,7 @@
 // settleElsewhere replaces the reservations in other regions, if there are any.
 func (s *Server) settleElsewhere(t *turn) {
 	if t.everywhere {
-		s.replicas.SettleElsewhere(t.cell, ledger.Commit{Program: t.program, Charge: t.finalCharge(), Retention: t.route.Retention})
+		s.replicas.SettleInOtherRegions(t.cell, ledger.Commit{Program: t.program, Charge: t.finalCharge(), Retention: t.route.Retention})
 	}
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -56,7 +56,7 @@
 	if t.reservation != nil {
 		// Also of a turn that is refused: what is not ended is sent again to all replicas with
 		// each connection and each set, and each refusal would add to that for good.
-		defer t.reservation.End()
+		defer t.reservation.StopRetrying()
 	}
 	if refused != nil {
 		s.refuse(w, r, refused)
@@ -67,7 +67,7 @@
 		s.refuse(w, r, s.refuseHeld(r, bound))
 		return
 	}
-	t.first = t.previous == "" && t.reservation != nil && t.reservation.Others == 0
+	t.first = t.previous == "" && t.reservation != nil && t.reservation.OtherTurnTokens == 0
 	// A turn that is refused for other reasons must not use up the tenant's limit.
 	if failure := s.withinLimit(ctx, r); failure != nil {
 		s.settle(t)
@@ -303,7 +303,7 @@
 	}}
 	cell := t.cell
 	if cell == nil {
-		cell = s.replicas.Of(t.header.Get(s.dialect.Program), t.homes())
+		cell = s.replicas.ForProgram(t.header.Get(s.dialect.Program), t.homes())
 	}
 	if cell == nil {
 		return &backend.Failure{Verdict: verdict.Ran, Reason: "no replicas are known"}
--- a/internal/quorum/budget.go
+++ b/internal/quorum/budget.go
@@ -8,12 +8,12 @@
 	"swiftbank.dev/swiftbank/internal/ledger"
 )
 
-// ReserveElsewhere reserves an accepted reservation's charge in the program's cells of the
+// ReserveInOtherRegions reserves an accepted reservation's charge in the program's cells of the
 // other regions as well, and makes Others the sum over all regions. From then on the
 // reservation is durable once it is so in all of them. After an error the charge may be
 // recorded in some of them: settle it in all regions (SettleElsewhere). It fails at once if a region's cell is known to have
 // no quorum.
-func (c *Cells) ReserveElsewhere(ctx context.Context, r *Reservation, asked ledger.Reserve) error {
+func (c *Cells) ReserveInOtherRegions(ctx context.Context, r *Reservation, asked ledger.Reserve) error {
 	asked.History = ""
 	others := c.otherRegions(asked.Program, r.client)
 	for _, client := range others {
@@ -48,13 +48,13 @@
 	for _, reservation := range r.elsewhere {
 		charges = append(charges, reservation.charges())
 	}
-	r.Others = unionOthers(asked.Charge.Turn, charges...)
+	r.OtherTurnTokens = unionOthers(asked.Charge.Turn, charges...)
 	return nil
 }
 
-// SettleElsewhere records a final charge in the program's cells of the regions other than the
+// SettleInOtherRegions records a final charge in the program's cells of the regions other than the
 // client's.
-func (c *Cells) SettleElsewhere(own *Client, settled ledger.Commit) {
+func (c *Cells) SettleInOtherRegions(own *Client, settled ledger.Commit) {
 	for _, client := range c.otherRegions(settled.Program, own) {
 		client.Settle(settled.Program, settled.Charge, settled.Retention)
 	}
@@ -63,7 +63,7 @@
 // otherRegions returns the program's cells in the regions other than a client's.
 func (c *Cells) otherRegions(program string, own *Client) []*Client {
 	var others []*Client
-	for _, client := range c.OfAllRegions(program) {
+	for _, client := range c.ForProgramInAllRegions(program) {
 		if client != own {
 			others = append(others, client)
 		}
--- a/internal/quorum/cells.go
+++ b/internal/quorum/cells.go
@@ -135,11 +135,11 @@
 	return near[:min(keptCells, len(near))]
 }
 
-// Of returns the client of the program's cell: one of the own region, or of the first region
+// ForProgram returns the client of the program's cell: one of the own region, or of the first region
 // within the homes where the own one has none, is not within them, or has been without a
 // quorum for a while. It returns nil while no cell is known, and where no region within the
 // homes has one. Wherever a turn is kept, the escrow holds the program's budget.
-func (c *Cells) Of(program string, homes place.Homes) *Client {
+func (c *Cells) ForProgram(program string, homes place.Homes) *Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	own := c.places.Region(c.zone)
@@ -166,9 +166,9 @@
 	return first
 }
 
-// Instead returns the program's cell of another region within the homes that replaces a cell
+// Failover returns the program's cell of another region within the homes that replaces a cell
 // without a quorum in reach; nil if the cell has one, or there is no other.
-func (c *Cells) Instead(of *Client, program string, homes place.Homes) *Client {
+func (c *Cells) Failover(of *Client, program string, homes place.Homes) *Client {
 	now := time.Now()
 	if of.reaches(now) {
 		return nil
@@ -199,8 +199,8 @@
 	return c.cells[cells[replicaset.CellOf(program, len(cells))]]
 }
 
-// OfAllRegions returns the program's cell in each region that has cells.
-func (c *Cells) OfAllRegions(program string) []*Client {
+// ForProgramInAllRegions returns the program's cell in each region that has cells.
+func (c *Cells) ForProgramInAllRegions(program string) []*Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if len(c.cells) == 0 {
@@ -216,9 +216,9 @@
 	return clients
 }
 
-// OfTenant returns the client of the cell that lends a tenant's allowances, or nil. A limit
+// ForTenant returns the client of the cell that lends a tenant's allowances, or nil. A limit
 // holds over all regions, so it lies in one cell of the whole fleet.
-func (c *Cells) OfTenant(tenant string) *Client {
+func (c *Cells) ForTenant(tenant string) *Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if len(c.cells) == 0 {
@@ -232,8 +232,8 @@
 	return slices.ContainsFunc(c.clients(), (*Client).Ready)
 }
 
-// Pending returns how many requests are sent again with each new connection and each new set.
-func (c *Cells) Pending() int {
+// PendingOperations returns how many requests are sent again with each new connection and each new set.
+func (c *Cells) PendingOperations() int {
 	pending := 0
 	for _, client := range c.clients() {
 		client.mu.Lock()
@@ -243,12 +243,12 @@
 	return pending
 }
 
-// ChainElsewhere looks for a turn in the cells other than the program's own, in regions
+// ChainFromOtherCells looks for a turn in the cells other than the program's own, in regions
 // within the homes, and returns it with all turns before it, newest first: a program may go
 // on from a turn of another one, or come from another region. None does not mean that there
 // is none.
-func (c *Cells) ChainElsewhere(ctx context.Context, program, turn string, homes place.Homes) []ledger.Turn {
-	own := c.Of(program, homes)
+func (c *Cells) ChainFromOtherCells(ctx context.Context, program, turn string, homes place.Homes) []ledger.Turn {
+	own := c.ForProgram(program, homes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	cells := c.within(homes)
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -173,7 +173,7 @@
 func (c *Client) Commit(ctx context.Context, commit ledger.Commit, copies int) error {
 	pending := &operation{request: ledger.Request{Commit: &commit}}
 	number := c.begin(pending)
-	err := c.await(ctx, pending, func() bool { return pending.tally.Copies() >= copies })
+	err := c.await(ctx, pending, func() bool { return pending.tally.DurableCopies() >= copies })
 	if err != nil {
 		c.end(number)
 		return err
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -140,7 +140,7 @@
 	replicas[0].server.Close()
 	second, err := client.Reserve(limited(t, 20*time.Second), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t2", Tokens: 5}, History: ""})
 	require.NoError(t, err)
-	require.Equal(t, int64(10), second.Others)
+	require.Equal(t, int64(10), second.OtherTurnTokens)
 	replicas[1].server.Close()
 	_, err = client.Reserve(limited(t, 300*time.Millisecond), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t3", Tokens: 5}, History: ""})
 	require.ErrorIs(t, err, ErrNoQuorum)
@@ -269,7 +269,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	cells := NewCells(ctx, "g", "a", nil, quiet())
-	require.Nil(t, cells.Of("p", place.Homes{}))
+	require.Nil(t, cells.ForProgram("p", place.Homes{}))
 	membership := replicaset.Membership{
 		HasLayout: true, Layout: replicaset.Layout{Cells: 2}, Sets: []replicaset.Set{setOf(1, a), setOf(1, b)},
 		Replicas: map[string]replicaset.Node{"a": a.node, "b": b.node},
@@ -283,17 +283,17 @@
 	for _, turn := range []ledger.Turn{{ID: "t1", Retention: time.Minute}, {ID: "t2", Previous: "t1", Retention: time.Minute}} {
 		other.step(ledger.Request{Commit: &ledger.Commit{Turn: &turn}})
 	}
-	require.Eventually(t, func() bool { return cells.Of("p", place.Homes{}).Ready() }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return cells.ForProgram("p", place.Homes{}).Ready() }, 20*time.Second, time.Millisecond)
 	var chain []ledger.Turn
 	require.Eventually(t, func() bool {
-		chain = cells.ChainElsewhere(limited(t, 5*time.Second), program, "t2", place.Homes{})
+		chain = cells.ChainFromOtherCells(limited(t, 5*time.Second), program, "t2", place.Homes{})
 		return len(chain) == 2
 	}, 20*time.Second, 5*time.Millisecond)
 	require.Equal(t, "t2", chain[0].ID)
-	require.Empty(t, cells.ChainElsewhere(limited(t, 5*time.Second), program, "unknown", place.Homes{}))
+	require.Empty(t, cells.ChainFromOtherCells(limited(t, 5*time.Second), program, "unknown", place.Homes{}))
 
 	commit := ledger.Commit{Turn: &ledger.Turn{ID: "t3", Previous: "t2", Retention: time.Minute}, Ancestors: chain}
-	require.NoError(t, cells.Of(program, place.Homes{}).Commit(limited(t, 20*time.Second), commit, 1))
+	require.NoError(t, cells.ForProgram(program, place.Homes{}).Commit(limited(t, 20*time.Second), commit, 1))
 	whole := own.step(ledger.Request{Chain: &ledger.Chain{ID: "t3"}}).Now[0]
 	require.Len(t, whole.Turns, 3, "the ancestors are kept in the program's own cell")
 }
--- a/internal/quorum/escrow.go
+++ b/internal/quorum/escrow.go
@@ -8,13 +8,13 @@
 // union of what all of them hold. docs/design/regions.md has the proof that the turns
 // granted never exceed the budget together.
 
-// Grant is the escrow's decision on a turn.
-type Grant uint8
+// EscrowDecision is the escrow's decision on a turn.
+type EscrowDecision uint8
 
 // The grants.
 const (
 	// Granted: the turn may run.
-	Granted Grant = iota
+	Granted EscrowDecision = iota
 	// AskEveryRegion: the own region's share does not suffice.
 	AskEveryRegion
 	// Exhausted: the budget holds no further turn.
@@ -22,35 +22,35 @@
 )
 
 // String returns the name used in logs and metrics.
-func (g Grant) String() string {
+func (g EscrowDecision) String() string {
 	return [...]string{"granted", "ask_every_region", "exhausted"}[g]
 }
 
 // Escrow decides on one turn of a program.
 type Escrow struct {
-	// Budget is the program's budget, Most the most that the turn may use of it, in tokens.
-	Budget, Most int64
+	// Budget is the program's budget, MaxTurnTokens the most that the turn may use of it, in tokens.
+	Budget, MaxTurnTokens int64
 	// Regions is how many regions have cells.
 	Regions int
 }
 
-// InOwnRegion decides by the charges of the program's other turns in the own region's cell,
+// DecideInOwnRegion decides by the charges of the program's other turns in the own region's cell,
 // read after the turn was reserved there.
-func (e Escrow) InOwnRegion(others int64) Grant {
+func (e Escrow) DecideInOwnRegion(others int64) EscrowDecision {
 	switch {
-	case others+e.Most > e.Budget:
+	case others+e.MaxTurnTokens > e.Budget:
 		return Exhausted
-	case others+e.Most <= e.Budget/int64(max(1, e.Regions)):
+	case others+e.MaxTurnTokens <= e.Budget/int64(max(1, e.Regions)):
 		return Granted
 	default:
 		return AskEveryRegion
 	}
 }
 
-// InEveryRegion decides by the union of the charges in the program's cells of all regions,
+// DecideInAllRegions decides by the union of the charges in the program's cells of all regions,
 // read after the turn was reserved in each.
-func (e Escrow) InEveryRegion(others int64) Grant {
-	if others+e.Most > e.Budget {
+func (e Escrow) DecideInAllRegions(others int64) EscrowDecision {
+	if others+e.MaxTurnTokens > e.Budget {
 		return Exhausted
 	}
 	return Granted
--- a/internal/quorum/escrow_test.go
+++ b/internal/quorum/escrow_test.go
@@ -126,7 +126,7 @@
 }
 
 func (m *escrowModel) decideAlone(number int, turn *escrowTurn) {
-	escrow := Escrow{Budget: modelBudget, Most: modelMost, Regions: len(m.cells)}
+	escrow := Escrow{Budget: modelBudget, MaxTurnTokens: modelMost, Regions: len(m.cells)}
 	if m.guards.wholeBudget {
 		escrow.Regions = 1
 	}
@@ -136,7 +136,7 @@
 			return m.regionOf(id) != turn.region
 		})
 	}
-	switch escrow.InOwnRegion(unionOthers(turn.id, own)) {
+	switch escrow.DecideInOwnRegion(unionOthers(turn.id, own)) {
 	case Granted:
 		m.run(number, turn)
 	case Exhausted:
@@ -166,8 +166,8 @@
 	for _, charges := range turn.replies {
 		all = append(all, charges)
 	}
-	escrow := Escrow{Budget: modelBudget, Most: modelMost, Regions: len(m.cells)}
-	if escrow.InEveryRegion(unionOthers(turn.id, all...)) == Granted {
+	escrow := Escrow{Budget: modelBudget, MaxTurnTokens: modelMost, Regions: len(m.cells)}
+	if escrow.DecideInAllRegions(unionOthers(turn.id, all...)) == Granted {
 		m.run(number, turn)
 		return
 	}
@@ -294,13 +294,13 @@
 }
 
 func TestAnEscrowDecidesByTheShare(t *testing.T) {
-	one := Escrow{Budget: 100, Most: 10, Regions: 1}
-	two := Escrow{Budget: 100, Most: 10, Regions: 2}
-	require.Equal(t, Granted, one.InOwnRegion(90), "a single region has the whole budget")
-	require.Equal(t, Exhausted, one.InOwnRegion(91))
-	require.Equal(t, Granted, two.InOwnRegion(40))
-	require.Equal(t, AskEveryRegion, two.InOwnRegion(41))
-	require.Equal(t, Exhausted, two.InOwnRegion(91), "what the own cell knows suffices to refuse")
-	require.Equal(t, Granted, two.InEveryRegion(90))
-	require.Equal(t, Exhausted, two.InEveryRegion(91))
+	one := Escrow{Budget: 100, MaxTurnTokens: 10, Regions: 1}
+	two := Escrow{Budget: 100, MaxTurnTokens: 10, Regions: 2}
+	require.Equal(t, Granted, one.DecideInOwnRegion(90), "a single region has the whole budget")
+	require.Equal(t, Exhausted, one.DecideInOwnRegion(91))
+	require.Equal(t, Granted, two.DecideInOwnRegion(40))
+	require.Equal(t, AskEveryRegion, two.DecideInOwnRegion(41))
+	require.Equal(t, Exhausted, two.DecideInOwnRegion(91), "what the own cell knows suffices to refuse")
+	require.Equal(t, Granted, two.DecideInAllRegions(90))
+	require.Equal(t, Exhausted, two.DecideInAllRegions(91))
 }
--- a/internal/quorum/firstasked_test.go
+++ b/internal/quorum/firstasked_test.go
@@ -53,7 +53,7 @@
 		reservation, err := client.Reserve(t.Context(), ledger.Reserve{Program: turn, Charge: ledger.Charge{Turn: turn, Tokens: 5}})
 		require.NoError(t, err)
 		require.NoError(t, reservation.Durable(t.Context(), 1))
-		reservation.End()
+		reservation.StopRetrying()
 		require.Equal(t, 3, holders(turn, replicas))
 		require.NotEmpty(t, replicas[0].charges(turn), "the own zone is among them")
 	}
@@ -65,7 +65,7 @@
 	defer replicas[0].mu.Unlock()
 	reservation, err := client.Reserve(t.Context(), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t", Tokens: 5}})
 	require.NoError(t, err)
-	defer reservation.End()
+	defer reservation.StopRetrying()
 	require.NoError(t, reservation.Durable(t.Context(), 1))
 	require.Equal(t, 4, holders("p", replicas[1:]), "all others were asked")
 }
@@ -83,9 +83,9 @@
 	far.SetReplicas(nodes, set)
 	first, err := near.Reserve(t.Context(), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 5}})
 	require.NoError(t, err)
-	defer first.End()
+	defer first.StopRetrying()
 	second, err := far.Reserve(t.Context(), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t2", Tokens: 7}})
 	require.NoError(t, err)
-	defer second.End()
-	require.Equal(t, int64(5), second.Others)
+	defer second.StopRetrying()
+	require.Equal(t, int64(5), second.OtherTurnTokens)
 }
--- a/internal/quorum/model_test.go
+++ b/internal/quorum/model_test.go
@@ -244,7 +244,7 @@
 		return
 	}
 	operation.done = true
-	if operation.tally.Others(operation.turn)+modelMost <= modelBudget {
+	if operation.tally.OtherTurnTokens(operation.turn)+modelMost <= modelBudget {
 		m.handed += modelMost
 	}
 }
--- a/internal/quorum/ondemand_test.go
+++ b/internal/quorum/ondemand_test.go
@@ -78,7 +78,7 @@
 func TestARelayOpensItsConnection(t *testing.T) {
 	f := startRelayFleet(t)
 	relaying := f.addGateway(t, "g1", true)
-	client := relaying.Of("p", place.Homes{})
+	client := relaying.ForProgram("p", place.Homes{})
 	client.mu.Lock()
 	client.onDemand = true
 	for index, replica := range client.replicas {
--- a/internal/quorum/regions_test.go
+++ b/internal/quorum/regions_test.go
@@ -41,7 +41,7 @@
 
 // regionOf returns the region of the cell that a gateway chooses.
 func regionOf(cells *Cells, homes place.Homes) string {
-	client := cells.Of("p", homes)
+	client := cells.ForProgram("p", homes)
 	for cell, known := range cells.clients() {
 		if known == client {
 			return cells.layout.Region(cell)
@@ -57,8 +57,8 @@
 	require.Equal(t, "east", regionOf(f.inNorth, place.Homes{}), "a region without cells")
 	require.Equal(t, "west", regionOf(f.inEast, place.HomesOf([]string{"west"})))
 	require.Empty(t, regionOf(f.inEast, place.HomesOf([]string{"north"})), "no cell within the homes")
-	require.Len(t, f.inEast.OfAllRegions("p"), 2)
-	require.Same(t, f.inEast.clients()[0], f.inEast.OfAllRegions("p")[0])
+	require.Len(t, f.inEast.ForProgramInAllRegions("p"), 2)
+	require.Same(t, f.inEast.clients()[0], f.inEast.ForProgramInAllRegions("p")[0])
 }
 
 func TestAQuorumIsLostOnlyAfterAWhile(t *testing.T) {
@@ -90,10 +90,10 @@
 	f := startRegions(t)
 	near := f.inEast.clients()[0]
 	require.Eventually(t, near.Ready, 20*time.Second, time.Millisecond)
-	require.Nil(t, f.inEast.Instead(near, "p", place.Homes{}), "it has a quorum")
+	require.Nil(t, f.inEast.Failover(near, "p", place.Homes{}), "it has a quorum")
 	f.east.server.Close()
-	require.Eventually(t, func() bool { return f.inEast.Instead(near, "p", place.Homes{}) != nil }, 20*time.Second, time.Millisecond)
-	require.Nil(t, f.inEast.Instead(near, "p", place.HomesOf([]string{"east"})))
+	require.Eventually(t, func() bool { return f.inEast.Failover(near, "p", place.Homes{}) != nil }, 20*time.Second, time.Millisecond)
+	require.Nil(t, f.inEast.Failover(near, "p", place.HomesOf([]string{"east"})))
 	require.Eventually(t, func() bool { return regionOf(f.inEast, place.Homes{}) == "west" }, 20*time.Second, 5*time.Millisecond)
 	require.Equal(t, "east", regionOf(f.inEast, place.HomesOf([]string{"east"})), "not beyond the homes")
 	reserveIn(t, f.inEast, "east-1")
@@ -129,9 +129,9 @@
 
 func reserveIn(t *testing.T, cells *Cells, turn string) (*Reservation, ledger.Reserve) {
 	asked := ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: turn, Tokens: modelMost}, Retention: time.Minute}
-	reservation, err := cells.Of("p", place.Homes{}).Reserve(limited(t, 20*time.Second), asked)
+	reservation, err := cells.ForProgram("p", place.Homes{}).Reserve(limited(t, 20*time.Second), asked)
 	require.NoError(t, err)
-	t.Cleanup(reservation.End)
+	t.Cleanup(reservation.StopRetrying)
 	return reservation, asked
 }
 
@@ -139,18 +139,18 @@
 	f := startRegions(t)
 	reserveIn(t, f.inWest, "west-1")
 	reservation, asked := reserveIn(t, f.inEast, "east-1")
-	require.Zero(t, reservation.Others, "the own region's cell knows its own turns")
-	require.NoError(t, f.inEast.ReserveElsewhere(limited(t, 20*time.Second), reservation, asked))
-	require.Equal(t, int64(modelMost), reservation.Others, "with the other region's")
+	require.Zero(t, reservation.OtherTurnTokens, "the own region's cell knows its own turns")
+	require.NoError(t, f.inEast.ReserveInOtherRegions(limited(t, 20*time.Second), reservation, asked))
+	require.Equal(t, int64(modelMost), reservation.OtherTurnTokens, "with the other region's")
 	require.NoError(t, reservation.Durable(limited(t, 20*time.Second), 1))
 	later, _ := reserveIn(t, f.inWest, "west-2")
-	require.Equal(t, int64(2*modelMost), later.Others, "the other region counts a turn beyond the share")
+	require.Equal(t, int64(2*modelMost), later.OtherTurnTokens, "the other region counts a turn beyond the share")
 
 	settled := ledger.Charge{Turn: "east-1", Tokens: 1, Final: true}
-	f.inEast.SettleElsewhere(f.inEast.Of("p", place.Homes{}), ledger.Commit{Program: "p", Charge: settled})
+	f.inEast.SettleInOtherRegions(f.inEast.ForProgram("p", place.Homes{}), ledger.Commit{Program: "p", Charge: settled})
 	require.Eventually(t, func() bool {
 		last, _ := reserveIn(t, f.inWest, "west-3")
-		return last.Others == 2*modelMost+settled.Tokens
+		return last.OtherTurnTokens == 2*modelMost+settled.Tokens
 	}, 20*time.Second, 5*time.Millisecond)
 }
 
@@ -158,10 +158,10 @@
 	f := startRegions(t)
 	f.west.server.Close()
 	reservation, asked := reserveIn(t, f.inEast, "east-1")
-	require.ErrorIs(t, f.inEast.ReserveElsewhere(limited(t, 300*time.Millisecond), reservation, asked), ErrNoQuorum)
+	require.ErrorIs(t, f.inEast.ReserveInOtherRegions(limited(t, 300*time.Millisecond), reservation, asked), ErrNoQuorum)
 	remote := f.inEast.clients()[1]
 	require.Eventually(t, func() bool { return !remote.serves(time.Now()) }, 20*time.Second, 5*time.Millisecond)
-	require.ErrorIs(t, f.inEast.ReserveElsewhere(context.Background(), reservation, asked), ErrNoQuorum, "at once")
+	require.ErrorIs(t, f.inEast.ReserveInOtherRegions(context.Background(), reservation, asked), ErrNoQuorum, "at once")
 }
 
 func TestDurableIsSoInEveryRegion(t *testing.T) {
@@ -170,7 +170,7 @@
 	f.west.holdDurable = true
 	f.west.mu.Unlock()
 	reservation, asked := reserveIn(t, f.inEast, "east-1")
-	require.NoError(t, f.inEast.ReserveElsewhere(limited(t, 20*time.Second), reservation, asked))
+	require.NoError(t, f.inEast.ReserveInOtherRegions(limited(t, 20*time.Second), reservation, asked))
 	require.Error(t, reservation.Durable(limited(t, 100*time.Millisecond), 1))
 }
 
@@ -178,7 +178,7 @@
 	f := startRegions(t)
 	f.west.step(ledger.Request{Commit: &ledger.Commit{Turn: &ledger.Turn{ID: "t1", Retention: time.Minute}}})
 	find := func(homes place.Homes) []ledger.Turn {
-		return f.inEast.ChainElsewhere(limited(t, 20*time.Second), "p", "t1", homes)
+		return f.inEast.ChainFromOtherCells(limited(t, 20*time.Second), "p", "t1", homes)
 	}
 	require.Len(t, find(place.Homes{}), 1)
 	require.Empty(t, find(place.HomesOf([]string{"east"})), "a region that is no home is not asked")
@@ -199,7 +199,7 @@
 	require.Nil(t, link)
 	for _, turn := range []string{"east-1", "east-2"} {
 		reservation, asked := reserveIn(t, f.inEast, turn)
-		require.NoError(t, f.inEast.ReserveElsewhere(limited(t, 20*time.Second), reservation, asked))
+		require.NoError(t, f.inEast.ReserveInOtherRegions(limited(t, 20*time.Second), reservation, asked))
 		used, link := first()
 		require.NotNil(t, link)
 		remote.mu.Lock()
@@ -208,7 +208,7 @@
 		used.closeIdle()
 		_, link = first()
 		require.NotNil(t, link, "kept while something is under way: it would never be asked again")
-		reservation.End()
+		reservation.StopRetrying()
 		used.closeIdle()
 		_, link = first()
 		require.Nil(t, link, "closed without use")
--- a/internal/quorum/relay_test.go
+++ b/internal/quorum/relay_test.go
@@ -81,7 +81,7 @@
 	go server.Run()
 	t.Cleanup(server.Close)
 	if reaches {
-		require.Eventually(t, cells.Of("p", place.Homes{}).Ready, 20*time.Second, time.Millisecond)
+		require.Eventually(t, cells.ForProgram("p", place.Homes{}).Ready, 20*time.Second, time.Millisecond)
 	}
 	f.gateways[name] = replicaset.Node{Name: name, Role: replicaset.RoleGateway, Address: listener.Addr().String(), Zone: "r0"}
 	f.relays.SetGateways(f.gateways)
@@ -89,7 +89,7 @@
 }
 
 func (f *relayFleet) reserve(t *testing.T, turn string, tokens int64) (*Reservation, error) {
-	return f.cut.Of("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
+	return f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: turn, Tokens: tokens}, Retention: time.Minute,
 	})
 }
@@ -101,15 +101,15 @@
 	reservation, err := f.reserve(t, "t1", 10)
 	require.NoError(t, err)
 	require.NoError(t, reservation.Durable(limited(t, 20*time.Second), 1))
-	reservation.End()
+	reservation.StopRetrying()
 	second, err := f.reserve(t, "t2", 5)
 	require.NoError(t, err)
-	require.Equal(t, int64(10), second.Others)
+	require.Equal(t, int64(10), second.OtherTurnTokens)
 }
 
 func TestWithoutRelaysACutGatewayReservesNothing(t *testing.T) {
 	f := startRelayFleet(t)
-	_, err := f.cut.Of("p", place.Homes{}).Reserve(limited(t, 300*time.Millisecond), ledger.Reserve{
+	_, err := f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 300*time.Millisecond), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 10},
 	})
 	require.ErrorIs(t, err, ErrNoQuorum)
@@ -120,14 +120,14 @@
 	f.addGateway(t, "g1", true)
 	turn := &ledger.Turn{ID: "t1", Input: []byte("in"), Output: []byte("out"), Instance: "i-1", Retention: time.Minute}
 	commit := ledger.Commit{Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 3, Final: true}, Retention: time.Minute, Turn: turn}
-	require.NoError(t, f.cut.Of("p", place.Homes{}).Commit(limited(t, 20*time.Second), commit, 2))
-	reservation, err := f.cut.Of("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
+	require.NoError(t, f.cut.ForProgram("p", place.Homes{}).Commit(limited(t, 20*time.Second), commit, 2))
+	reservation, err := f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: "t2", Tokens: 10}, History: "t1",
 	})
 	require.NoError(t, err)
 	require.True(t, reservation.Found)
 	require.Equal(t, "inout", string(reservation.History))
-	require.Equal(t, int64(3), reservation.Others)
+	require.Equal(t, int64(3), reservation.OtherTurnTokens)
 }
 
 // A relaying gateway passes the sender's epoch on as it is: a replica that has adopted
@@ -141,9 +141,9 @@
 	}
 	reservation, err := f.reserve(t, "t1", 10)
 	require.NoError(t, err)
-	require.Equal(t, uint64(2), f.cut.Of("p", place.Homes{}).Epoch())
-	require.Equal(t, uint64(1), relaying.Of("p", place.Homes{}).Epoch())
-	reservation.End()
+	require.Equal(t, uint64(2), f.cut.ForProgram("p", place.Homes{}).Epoch())
+	require.Equal(t, uint64(1), relaying.ForProgram("p", place.Homes{}).Epoch())
+	reservation.StopRetrying()
 }
 
 func TestRelayOrder(t *testing.T) {
--- a/internal/quorum/reserve.go
+++ b/internal/quorum/reserve.go
@@ -12,8 +12,8 @@
 	client    *Client
 	number    uint64
 	operation *operation
-	// Others is what the program's other turns are charged, in tokens.
-	Others int64
+	// OtherTurnTokens is what the program's other turns are charged, in tokens.
+	OtherTurnTokens int64
 	// History is the text of the turn asked for; Instance ran it last.
 	History  []byte
 	Instance string
@@ -72,7 +72,7 @@
 	if !known || asked.Program != "" && !pending.tally.Accepted(c.set) {
 		return false
 	}
-	reservation.Others = pending.tally.Others(asked.Charge.Turn)
+	reservation.OtherTurnTokens = pending.tally.OtherTurnTokens(asked.Charge.Turn)
 	reservation.Foreign = pending.tally.Foreign
 	reservation.Found = pending.tally.Found
 	reservation.History = pending.tally.History
@@ -107,13 +107,13 @@
 		}
 	}
 	r.client.askFor(r.operation, copies)
-	return r.client.await(ctx, r.operation, func() bool { return r.operation.tally.DurableAt(r.client.set, copies) })
+	return r.client.await(ctx, r.operation, func() bool { return r.operation.tally.DurableWithCopies(r.client.set, copies) })
 }
 
-// End stops repeating the reservation to replicas that were out of reach.
-func (r *Reservation) End() {
+// StopRetrying stops repeating the reservation to replicas that were out of reach.
+func (r *Reservation) StopRetrying() {
 	r.client.end(r.number)
 	for _, other := range r.elsewhere {
-		other.End()
+		other.StopRetrying()
 	}
 }
--- a/internal/quorum/tally.go
+++ b/internal/quorum/tally.go
@@ -73,10 +73,10 @@
 	return len(set.Voters) > 0 && count(t.durable, set) >= set.Quorum()
 }
 
-// DurableAt reports whether the reservation is on the disks of a quorum, and on at least so
+// DurableWithCopies reports whether the reservation is on the disks of a quorum, and on at least so
 // many disks, as far as the set has them: a small quorum alone may be lost with the number of
 // disks that is to be borne.
-func (t *Tally) DurableAt(set replicaset.Set, copies int) bool {
+func (t *Tally) DurableWithCopies(set replicaset.Set, copies int) bool {
 	return len(set.Voters) > 0 && count(t.durable, set) >= max(set.Quorum(), min(copies, len(set.Voters)))
 }
 
@@ -87,12 +87,12 @@
 	return durable
 }
 
-// Copies returns how many disks hold the request durably, voters or not.
-func (t *Tally) Copies() int { return len(t.durable) }
+// DurableCopies returns how many disks hold the request durably, voters or not.
+func (t *Tally) DurableCopies() int { return len(t.durable) }
 
-// Others returns the tokens charged to the program by all turns but one: final
+// OtherTurnTokens returns the tokens charged to the program by all turns but one: final
 // charges as they are, reservations at their most.
-func (t *Tally) Others(turn string) int64 {
+func (t *Tally) OtherTurnTokens(turn string) int64 {
 	return sumOthers(turn, t.charges)
 }
 
