--- a/internal/admission/decision.go
+++ b/internal/admission/decision.go
@@ -128,7 +128,7 @@
 	service := c.service(now, name.service())
 	own.sums[asked] += askedOnce
 	view := c.view(now, name.service(), service)
-	decision := Decision{Verdict: Admit, Chance: 1, Sources: c.others.Sources(now), asked: askedOnce}
+	decision := Decision{Verdict: Admit, Chance: 1, Sources: c.others.SourceCount(now), asked: askedOnce}
 	if load.Slots == 0 {
 		own.mayComeBack(request.Deadline)
 		return decision
--- a/internal/admission/figures.go
+++ b/internal/admission/figures.go
@@ -118,7 +118,7 @@
 
 // ZoneFigures returns what the gateways of the own zone know together.
 func (c *Controller) ZoneFigures(now time.Time) map[Key]float64 {
-	return c.others.WithZone(now, c.Figures(now))
+	return c.others.ZoneTotals(now, c.Figures(now))
 }
 
 // Take replaces what another gateway, or another zone, said before.
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -109,7 +109,7 @@
 // Zone returns what this gateway reports of its zone's gateways together.
 func (s *Shares) Zone(now time.Time) Figures {
 	s.settle(now)
-	return shorten(s.reported.WithZone(now, s.own))
+	return shorten(s.reported.ZoneTotals(now, s.own))
 }
 
 // Reported takes what a source said in place of what it said before. The figures belong to
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -69,9 +69,9 @@
 	return maps.Clone(t.sums)
 }
 
-// WithZone returns the own figures with those of the own zone's other gateways: what a zone
+// ZoneTotals returns the own figures with those of the own zone's other gateways: what a zone
 // tells another one.
-func (t *Tally[K]) WithZone(now time.Time, own map[K]float64) map[K]float64 {
+func (t *Tally[K]) ZoneTotals(now time.Time, own map[K]float64) map[K]float64 {
 	t.expire(now)
 	total := maps.Clone(own)
 	if total == nil {
@@ -96,8 +96,8 @@
 	})
 }
 
-// Sources returns how many sources count.
-func (t *Tally[K]) Sources(now time.Time) int {
+// SourceCount returns how many sources count.
+func (t *Tally[K]) SourceCount(now time.Time) int {
 	t.expire(now)
 	return len(t.sources)
 }
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -16,7 +16,7 @@
 	sums.Replace(now, a, map[string]float64{"x": 3, "y": 0.1})
 	sums.Replace(now, zone, map[string]float64{"x": 4})
 	require.Equal(t, 7.0, sums.Sums(now)["x"])
-	require.Equal(t, map[string]float64{"x": 5, "y": 0.1, "own": 1}, sums.WithZone(now, map[string]float64{"x": 2, "own": 1}),
+	require.Equal(t, map[string]float64{"x": 5, "y": 0.1, "own": 1}, sums.ZoneTotals(now, map[string]float64{"x": 2, "own": 1}),
 		"what other zones have is not passed on as the own zone's")
 	sums.Replace(now, a, map[string]float64{"x": 1})
 	require.Equal(t, map[string]float64{"x": 5}, sums.Sums(now))
@@ -29,7 +29,7 @@
 	sums.Replace(now.Add(900*time.Millisecond), Source{Gateway: "b"}, map[string]float64{"x": 5})
 	require.Equal(t, 7.0, sums.Sums(now.Add(time.Second))["x"])
 	require.Equal(t, 5.0, sums.Sums(now.Add(1100 * time.Millisecond))["x"])
-	require.Zero(t, sums.Sources(now.Add(3*time.Second)))
+	require.Zero(t, sums.SourceCount(now.Add(3*time.Second)))
 }
 
 func TestVersionsOrderTheReportsOfASource(t *testing.T) {
