--- a/internal/peer/budget.go
+++ b/internal/peer/budget.go
@@ -38,8 +38,8 @@
 // fits reports whether there is room. The caller holds the lock.
 func (b *Budget) fits(bytes int) bool { return b.used == 0 || b.used+bytes <= b.limit }
 
-// Take takes bytes if there is room.
-func (b *Budget) Take(bytes int) bool {
+// TryAcquire takes bytes if there is room.
+func (b *Budget) TryAcquire(bytes int) bool {
 	if b == nil {
 		return true
 	}
@@ -52,8 +52,8 @@
 	return true
 }
 
-// Await takes bytes once there is room. It reports false when the budget was closed.
-func (b *Budget) Await(bytes int) bool {
+// Acquire takes bytes once there is room. It reports false when the budget was closed.
+func (b *Budget) Acquire(bytes int) bool {
 	if b == nil {
 		return true
 	}
@@ -68,8 +68,8 @@
 	return !b.closed
 }
 
-// Give returns bytes that were taken.
-func (b *Budget) Give(bytes int) {
+// Release returns bytes that were taken.
+func (b *Budget) Release(bytes int) {
 	if b == nil {
 		return
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -71,9 +71,9 @@
 	return sender != nil && sender.send(message)
 }
 
-// Renew ends the present connection, and the link dials again: what fell silent on it may be
+// Reconnect ends the present connection, and the link dials again: what fell silent on it may be
 // answered on a new one.
-func (l *Link[Send, Receive]) Renew() {
+func (l *Link[Send, Receive]) Reconnect() {
 	l.mu.Lock()
 	sender := l.sender
 	l.mu.Unlock()
@@ -89,8 +89,8 @@
 	l.running.Wait()
 }
 
-// Abandon ends the link without waiting.
-func (l *Link[Send, Receive]) Abandon() { l.cancel() }
+// CloseAsync ends the link without waiting.
+func (l *Link[Send, Receive]) CloseAsync() { l.cancel() }
 
 func (l *Link[Send, Receive]) run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -178,7 +178,7 @@
 func (s *sender[Send]) enqueue(message Send) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || len(s.waiting) >= queueMessages || !s.budget.Take(bytesOf(message)) {
+	if s.ended || len(s.waiting) >= queueMessages || !s.budget.TryAcquire(bytesOf(message)) {
 		return false
 	}
 	s.waiting = append(s.waiting, message)
@@ -242,7 +242,7 @@
 // the buffer hold its messages.
 func (s *sender[Send]) release(batch []Send) {
 	for _, message := range batch {
-		s.budget.Give(bytesOf(message))
+		s.budget.Release(bytesOf(message))
 	}
 	s.reuse(batch)
 }
--- a/internal/peer/sender_test.go
+++ b/internal/peer/sender_test.go
@@ -109,14 +109,14 @@
 
 func TestABudgetMakesReadersWait(t *testing.T) {
 	budget := NewBudget(100)
-	require.True(t, budget.Await(1000), "what is larger than all of it passes alone")
-	require.False(t, budget.Take(1))
+	require.True(t, budget.Acquire(1000), "what is larger than all of it passes alone")
+	require.False(t, budget.TryAcquire(1))
 	waited := make(chan bool)
-	go func() { waited <- budget.Await(60) }()
-	budget.Give(1000)
+	go func() { waited <- budget.Acquire(60) }()
+	budget.Release(1000)
 	require.True(t, <-waited)
-	require.False(t, budget.Take(60))
-	go func() { waited <- budget.Await(60) }()
+	require.False(t, budget.TryAcquire(60))
+	go func() { waited <- budget.Acquire(60) }()
 	budget.Close()
 	require.False(t, <-waited)
 }
--- a/internal/peer/silence_test.go
+++ b/internal/peer/silence_test.go
@@ -9,13 +9,13 @@
 
 func TestSilenceLastsFromTheOldestUnansweredRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var silence Silence
-	require.False(t, silence.IsDead(now.Add(time.Hour)), "nothing is awaited")
-	silence.Await(now)
-	silence.Await(now.Add(AnswerTimeout - time.Millisecond))
-	require.False(t, silence.IsDead(now.Add(AnswerTimeout-time.Millisecond)))
-	require.True(t, silence.IsDead(now.Add(AnswerTimeout)))
-	require.True(t, silence.LastsLongerThan(time.Second, now.Add(AnswerTimeout)))
-	silence.End()
-	require.False(t, silence.IsDead(now.Add(time.Hour)))
+	var silence SilenceDetector
+	require.False(t, silence.TimedOut(now.Add(time.Hour)), "nothing is awaited")
+	silence.RequestSent(now)
+	silence.RequestSent(now.Add(AnswerTimeout - time.Millisecond))
+	require.False(t, silence.TimedOut(now.Add(AnswerTimeout-time.Millisecond)))
+	require.True(t, silence.TimedOut(now.Add(AnswerTimeout)))
+	require.True(t, silence.Exceeds(time.Second, now.Add(AnswerTimeout)))
+	silence.Reset()
+	require.False(t, silence.TimedOut(now.Add(time.Hour)))
 }
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -292,7 +292,7 @@
 	}
 	replica.open(now)
 	if replica.send(request) {
-		replica.silence.Await(now)
+		replica.silence.RequestSent(now)
 		c.credit.sent()
 	}
 }
--- a/internal/quorum/forward.go
+++ b/internal/quorum/forward.go
@@ -79,7 +79,7 @@
 		if !replica.up {
 			return replica.forwardOnceUp(passed)
 		}
-		replica.silence.Await(now)
+		replica.silence.RequestSent(now)
 		return replica.send(passed)
 	}
 	return false
--- a/internal/quorum/link.go
+++ b/internal/quorum/link.go
@@ -19,7 +19,7 @@
 	link *peer.Link[ledger.Request, ledger.Reply]
 	up   bool
 	// silence is how long no reply has followed a request.
-	silence peer.Silence
+	silence peer.SilenceDetector
 	// answers estimates how long this replica takes to answer.
 	answers roundTrip
 	// relaying is set while requests go by another gateway.
@@ -115,7 +115,7 @@
 		r.idle.Stop()
 	}
 	if r.link != nil {
-		r.link.Abandon()
+		r.link.CloseAsync()
 	}
 }
 
@@ -127,12 +127,12 @@
 // renewIfSilent replaces a connection on which nothing was answered for long. The client's lock
 // is held.
 func (r *replicaLink) renewIfSilent(now time.Time) {
-	if !r.up || !r.silence.IsDead(now) {
+	if !r.up || !r.silence.TimedOut(now) {
 		return
 	}
-	r.silence.End()
+	r.silence.Reset()
 	r.client.log.Warn().Str("event", "connection_silent").Str("peer", r.node.Name).Msg("")
-	r.link.Renew()
+	r.link.Reconnect()
 }
 
 // LinkUp implements peer.Handler: it repeats what this replica has not answered.
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r.up = true
-	r.silence.End()
+	r.silence.Reset()
 	c.log.Info().Str("event", "dependency_regained").Str("dependency", "replica").Str("peer", r.node.Name).Msg("")
 	if c.set.Epoch > 0 {
 		r.send(ledger.Request{Adopt: &ledger.Adopt{Set: c.set}})
@@ -172,7 +172,7 @@
 	c := r.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.silence.End()
+	r.silence.Reset()
 	if r.relaying {
 		r.relaying = false
 		c.log.Info().Str("event", "relay_retry_ended").Str("peer", r.node.Name).Msg("")
--- a/internal/quorum/reach.go
+++ b/internal/quorum/reach.go
@@ -86,5 +86,5 @@
 
 // silent reports whether the replica has left requests without any reply for long.
 func (r *replicaLink) silent(now time.Time) bool {
-	return r.silence.LastsLongerThan(silentAfter, now)
+	return r.silence.Exceeds(silentAfter, now)
 }
--- a/internal/quorum/regions_test.go
+++ b/internal/quorum/regions_test.go
@@ -107,7 +107,7 @@
 	require.Eventually(t, near.Ready, 20*time.Second, time.Millisecond)
 	now := time.Now()
 	near.mu.Lock()
-	near.replicas[0].silence.Await(now)
+	near.replicas[0].silence.RequestSent(now)
 	near.mu.Unlock()
 	require.True(t, near.serves(now.Add(silentAfter)))
 	require.True(t, near.serves(now.Add(silentAfter+time.Millisecond)), "for a while")
--- a/internal/quorum/relay.go
+++ b/internal/quorum/relay.go
@@ -62,7 +62,7 @@
 	// idle closes the connection when it was not used for relayIdle.
 	idle *time.Timer
 	// silence is how long no reply has followed a request.
-	silence peer.Silence
+	silence peer.SilenceDetector
 }
 
 // SetGateways replaces the gateways by those that the registry lists.
@@ -125,7 +125,7 @@
 		r.closeIfSilent(now, name)
 		link := r.open(name)
 		link.idle.Reset(relayIdle)
-		link.silence.Await(now)
+		link.silence.RequestSent(now)
 		r.order.asked(now, name)
 		link.link.Send(request)
 		r.counted()
@@ -155,7 +155,7 @@
 // lock.
 func (r *Relays) closeIfSilent(now time.Time, name string) {
 	link := r.links[name]
-	if link == nil || !link.silence.IsDead(now) {
+	if link == nil || !link.silence.TimedOut(now) {
 		return
 	}
 	r.log.Warn().Str("event", "connection_silent").Str("peer", name).Msg("")
@@ -166,7 +166,7 @@
 func (r *Relays) close(name string) {
 	link := r.links[name]
 	link.idle.Stop()
-	link.link.Abandon()
+	link.link.CloseAsync()
 	delete(r.links, name)
 	r.log.Info().Str("event", "relay_closed").Str("gateway", name).Msg("")
 }
@@ -191,7 +191,7 @@
 func (l *relayLink) Received(reply RelayReply) {
 	r := l.relays
 	r.mu.Lock()
-	l.silence.End()
+	l.silence.Reset()
 	r.mu.Unlock()
 	if reply.Unreachable {
 		r.mu.Lock()
--- a/internal/quorum/relayretry.go
+++ b/internal/quorum/relayretry.go
@@ -23,7 +23,7 @@
 	if !replica.up {
 		return replica.opening(now)
 	}
-	return !replica.silence.LastsLongerThan(c.timeoutOf(replica), now)
+	return !replica.silence.Exceeds(c.timeoutOf(replica), now)
 }
 
 // timeoutOf is how long a replica may take to answer: replicas of other regions take longer.
--- a/internal/replica/limits.go
+++ b/internal/replica/limits.go
@@ -39,12 +39,12 @@
 
 // postMessage hands a received message over to the loop, once there is room for it.
 func (s *Server) postMessage(bytes int, work func()) {
-	if !s.limits.inbox.Await(bytes) {
+	if !s.limits.inbox.Acquire(bytes) {
 		return
 	}
 	s.post(func() {
 		work()
-		s.limits.inbox.Give(bytes)
+		s.limits.inbox.Release(bytes)
 	})
 }
 
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -56,24 +56,24 @@
 	// silentVoters are the disks that it has not heard of for long.
 	silentVoters []string
 	// silence is how long nothing has followed a question.
-	silence peer.Silence
+	silence peer.SilenceDetector
 }
 
 // send queues a request to the peer, and notes since when an answer is awaited.
 func (p *peerState) send(request ledger.Request) {
 	if p.link.Send(request) {
-		p.silence.Await(time.Now())
+		p.silence.RequestSent(time.Now())
 	}
 }
 
 // renewIfSilent replaces a connection on which nothing was answered for long.
 func (p *peerState) renewIfSilent(now time.Time) {
-	if !p.up || !p.silence.IsDead(now) {
+	if !p.up || !p.silence.TimedOut(now) {
 		return
 	}
-	p.silence.End()
+	p.silence.Reset()
 	p.server.log.Warn().Str("event", "connection_silent").Str("peer", p.node.Name).Msg("")
-	p.link.Renew()
+	p.link.Reconnect()
 }
 
 // LinkUp implements peer.Handler.
@@ -81,7 +81,7 @@
 	p.server.post(func() {
 		p.up = true
 		p.asking = false
-		p.silence.End()
+		p.silence.Reset()
 		p.stopFetching()
 		p.adoptAt = time.Time{}
 		own := p.server.own()
@@ -111,7 +111,7 @@
 
 func (p *peerState) receive(reply ledger.Reply) {
 	p.heardAt = time.Now()
-	p.silence.End()
+	p.silence.Reset()
 	p.disk = reply.Disk
 	switch {
 	case reply.Inventory != nil:
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -186,7 +186,7 @@
 	cancel()
 	server.Close()
 	for _, peer := range s.peers {
-		peer.link.Abandon()
+		peer.link.CloseAsync()
 	}
 	running.Wait()
 	s.log.Info().Str("event", "stop").Str("role", "replica").Msg("")
@@ -317,7 +317,7 @@
 		return
 	}
 	if known != nil {
-		known.link.Abandon()
+		known.link.CloseAsync()
 	}
 	fresh := &peerState{server: s, node: node}
 	s.peers[node.Name] = fresh
