--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -1,6 +1,7 @@
-// Package tally adds up figures that gateways tell each other. Each source replaces what it
-// said before, so lost, repeated and reordered reports leave no error behind; a source that
-// falls silent stops counting. It is pure: time comes from the caller.
+// Package tally sums figures that gateways report to each other. Each report replaces the
+// previous one of its source, so lost, repeated and reordered reports cause no lasting error. The
+// figures of a source that stops reporting expire. The package is deterministic: callers pass the
+// time in.
 package tally
 
 import (
@@ -10,15 +11,15 @@
 	"time"
 )
 
-// Source is whose figures a report holds: those of one gateway of the own zone, or those of
-// all gateways of another zone. One field is set.
+// Source identifies whose figures a report holds: those of one gateway of the local zone, or
+// those of all gateways of another zone. Exactly one field is set.
 type Source struct {
 	Gateway string
 	Zone    string
 }
 
-// Version orders the reports of one source: by the start of the process that made them, in
-// Unix nanoseconds, then by their number in its life.
+// Version orders the reports of one source: by the start time of the reporting process, in Unix
+// nanoseconds, then by the sequence number of the report within that process.
 type Version struct {
 	Started int64
 	Number  uint64
@@ -32,52 +33,52 @@
 	return v.Number < other.Number
 }
 
-// Tally holds the newest figures of each source and their sums by key. It is not safe for
+// Tally holds the latest figures of each source and their sums by key. It is not safe for
 // concurrent use.
 type Tally[K comparable] struct {
-	// life is how long a source's figures count after its last report.
-	life    time.Duration
+	// ttl is how long a source's figures count after its last report.
+	ttl     time.Duration
 	sources map[Source]report[K]
 	sums    map[K]float64
 }
 
-// report is what one source said last.
+// report is the latest report of one source.
 type report[K comparable] struct {
-	figures map[K]float64
-	at      time.Time
+	figures    map[K]float64
+	receivedAt time.Time
 }
 
-// New returns a tally whose sources count for the given time after their last report.
-func New[K comparable](life time.Duration) *Tally[K] {
-	return &Tally[K]{life: life, sources: map[Source]report[K]{}, sums: map[K]float64{}}
+// New returns an empty tally whose sources expire ttl after their last report.
+func New[K comparable](ttl time.Duration) *Tally[K] {
+	return &Tally[K]{ttl: ttl, sources: map[Source]report[K]{}, sums: map[K]float64{}}
 }
 
-// Replace takes a source's figures in place of what it said before. The map belongs to the
-// tally afterwards.
+// Replace replaces the figures of a source. The tally takes ownership of the map.
 func (t *Tally[K]) Replace(now time.Time, source Source, figures map[K]float64) {
 	t.expire(now)
 	t.drop(source)
-	t.sources[source] = report[K]{figures: figures, at: now}
+	t.sources[source] = report[K]{figures: figures, receivedAt: now}
 	for key, value := range figures {
 		t.sums[key] += value
 	}
 }
 
-// Sums returns the sums of all keys over all sources, without this gateway's own figures.
+// Sums returns the sum of each key over all sources. It does not include this gateway's own
+// figures.
 func (t *Tally[K]) Sums(now time.Time) map[K]float64 {
 	t.expire(now)
 	return maps.Clone(t.sums)
 }
 
-// ZoneTotals returns the own figures with those of the own zone's other gateways: what a zone
-// tells another one.
+// ZoneTotals returns this gateway's own figures plus those of the other gateways of its zone. This
+// is what a zone reports to another one.
 func (t *Tally[K]) ZoneTotals(now time.Time, own map[K]float64) map[K]float64 {
 	t.expire(now)
 	total := maps.Clone(own)
 	if total == nil {
 		total = map[K]float64{}
 	}
-	for _, source := range t.sorted() {
+	for _, source := range t.sortedSources() {
 		if source.Zone != "" {
 			continue
 		}
@@ -88,24 +89,24 @@
 	return total
 }
 
-// sorted returns the sources in an order of their own, so that rounding does not depend on the
-// order of the map.
-func (t *Tally[K]) sorted() []Source {
+// sortedSources returns the sources in a fixed order, so that rounding does not depend on the
+// iteration order of the map.
+func (t *Tally[K]) sortedSources() []Source {
 	return slices.SortedFunc(maps.Keys(t.sources), func(a, b Source) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Gateway, b.Gateway))
 	})
 }
 
-// SourceCount returns how many sources count.
+// SourceCount returns the number of sources that have not expired.
 func (t *Tally[K]) SourceCount(now time.Time) int {
 	t.expire(now)
 	return len(t.sources)
 }
 
-// expire drops the sources that have been silent for too long.
+// expire drops the sources whose last report is older than the TTL.
 func (t *Tally[K]) expire(now time.Time) {
-	for source, said := range t.sources {
-		if now.Sub(said.at) > t.life {
+	for source, latest := range t.sources {
+		if now.Sub(latest.receivedAt) > t.ttl {
 			t.drop(source)
 		}
 	}
@@ -117,11 +118,11 @@
 	}
 	dropped := t.sources[source].figures
 	delete(t.sources, source)
-	// Summing anew keeps rounding errors from growing with each report.
-	for _, other := range t.sorted() {
-		said := t.sources[other].figures
+	// Recomputing the sums keeps rounding errors from growing with each report.
+	for _, other := range t.sortedSources() {
+		figures := t.sources[other].figures
 		for key := range dropped {
-			if value, known := said[key]; known {
+			if value, known := figures[key]; known {
 				t.sums[key] += value
 			}
 		}
