--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -109,7 +109,7 @@
 // ZoneReport returns what this gateway reports of its zone's gateways together.
 func (s *Shares) ZoneReport(now time.Time) Usage {
 	s.settle(now)
-	return shorten(s.reported.WithZone(now, s.own))
+	return shorten(s.reported.ZoneTotals(now, s.own))
 }
 
 // ReplaceReport takes what a source said in place of what it said before. The figures belong to
