--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -81,7 +81,7 @@
 	gossip := gateway.NewGossip(config.Node, config.Zone, config.Places(), directory, sent)
 	gossip.AddSection(server.ProgramSection())
 	if config.ProgramAdmission {
-		gossip.CacheLearned(process.log)
+		gossip.EnableLearnedCache(process.log)
 	}
 	if config.InstanceSpeeds {
 		gossip.AddSection(gateway.NewSpeedSection(directory, process.log, metrics))
@@ -96,7 +96,7 @@
 		Evacuations:  config.EvacuationLimit > 0,
 		StoreContact: func(err error) { process.contact("store", err) },
 		Handlers: feed.Handlers{
-			Status: server.KnowledgeChanged, Configuration: server.ConfigurationChanged, Instances: server.InstancesChanged,
+			Status: server.FeedStatusChanged, Configuration: server.ConfigurationChanged, Instances: server.InstancesChanged,
 			Evacuations: server.EvacuationsChanged,
 			Members:     func(objects []registry.Object) { server.MembersChanged(objects, gossip, relays) },
 		},
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -37,9 +37,9 @@
 	// it, as instances are told.
 	Authorization string
 	Tenant        string
-	// EngineOrders reserve, keep or move an engine's memory. Only the product may give
+	// EngineControlHeaders reserve, keep or move an engine's memory. Only the product may give
 	// them: passed on from callers, they fill the memory of all engines.
-	EngineOrders []string
+	EngineControlHeaders []string
 	// ReadyPath answers whether the gateway takes new callers.
 	ReadyPath string
 }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -99,8 +99,8 @@
 // some gateway reports each gossipRefresh.
 const gossipTimeout = 2 * time.Second
 
-// Alone reports whether there are other gateways and none has been heard of lately.
-func (g *Gossip) Alone(now time.Time) bool {
+// PeersTimedOut reports whether there are other gateways and none has been heard of lately.
+func (g *Gossip) PeersTimedOut(now time.Time) bool {
 	return g.others.Load() > 0 && now.Sub(g.started)-time.Duration(g.heardAt.Load()) > gossipTimeout
 }
 
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -65,12 +65,12 @@
 func TestAGatewayThatHearsOfNoOtherIsAlone(t *testing.T) {
 	g := gossipOf("a1", "a")
 	now := g.started
-	require.False(t, g.Alone(now.Add(time.Hour)), "there are no others")
+	require.False(t, g.PeersTimedOut(now.Add(time.Hour)), "there are no others")
 	g.SetGateways(map[string]replicaset.Node{"a1": {Name: "a1", Zone: "a", Address: "127.0.0.1:1"}, "b1": {Name: "b1", Zone: "b", Address: "127.0.0.1:2"}})
-	require.False(t, g.Alone(now.Add(gossipRefresh)), "the others may not have reported yet")
-	require.True(t, g.Alone(now.Add(2*gossipTimeout)))
+	require.False(t, g.PeersTimedOut(now.Add(gossipRefresh)), "the others may not have reported yet")
+	require.True(t, g.PeersTimedOut(now.Add(2*gossipTimeout)))
 	g.take(now.Add(2*gossipTimeout), loadReport{Gateway: "b1", Zone: "b"})
-	require.False(t, g.Alone(now.Add(2*gossipTimeout+gossipRefresh)))
+	require.False(t, g.PeersTimedOut(now.Add(2*gossipTimeout+gossipRefresh)))
 }
 
 func TestAnotherRegionHearsOfAZoneByFewGateways(t *testing.T) {
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -90,8 +90,8 @@
 	staleSince time.Time
 }
 
-// KnowledgeChanged says how fresh configuration and instances are from now on.
-func (s *Server) KnowledgeChanged(status feed.Status) {
+// FeedStatusChanged says how fresh configuration and instances are from now on.
+func (s *Server) FeedStatusChanged(status feed.Status) {
 	now := time.Now()
 	next := &knowledge{status: status, toldAt: now}
 	if !status.Fresh() {
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -15,13 +15,13 @@
 	started := func(status feed.Status) *Server {
 		s := gatewayOf(t)
 		oneInstance(t, s, func(http.ResponseWriter, *http.Request) {})
-		s.KnowledgeChanged(status)
+		s.FeedStatusChanged(status)
 		return s
 	}
 	s := started(feed.Status{})
 	require.False(t, served(s))
 	require.False(t, s.Ready())
-	s.KnowledgeChanged(feed.Status{Confirmed: true})
+	s.FeedStatusChanged(feed.Status{Confirmed: true})
 	require.True(t, served(s))
 
 	s = started(feed.Status{})
--- a/internal/gateway/learnedcache_test.go
+++ b/internal/gateway/learnedcache_test.go
@@ -42,7 +42,7 @@
 func startGossip(t *testing.T, section reportSection, replicas map[string]replicaset.Node) (stop func()) {
 	gossip := gossipOf("a1", "a")
 	gossip.AddSection(section)
-	gossip.CacheLearned(&log.Logger{Level: log.PanicLevel})
+	gossip.EnableLearnedCache(&log.Logger{Level: log.PanicLevel})
 	gossip.SetGateways(nil)
 	gossip.SetReplicas(replicas)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -155,7 +155,7 @@
 // the product does not know, and those must arrive.
 func (s *Server) passedToInstances(r *request) http.Header {
 	header := passable(r.header)
-	for _, name := range s.dialect.EngineOrders {
+	for _, name := range s.dialect.EngineControlHeaders {
 		delete(header, name)
 	}
 	delete(header, s.dialect.Priority)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -157,7 +157,7 @@
 // missing for all, gateways still hear of each other, and none is isolated.
 func (s *Server) isolated() bool {
 	gossip := s.gossip.Load()
-	isolated := gossip != nil && gossip.Alone(time.Now()) && !s.replicas.Reachable()
+	isolated := gossip != nil && gossip.PeersTimedOut(time.Now()) && !s.replicas.Reachable()
 	if s.wasIsolated.Swap(isolated) != isolated {
 		s.log.Warn().Str("event", "isolation_changed").Bool("isolated", isolated).Msg("")
 	}
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -30,7 +30,7 @@
 	s.ConfigurationChanged(table)
 }
 
-func fresh(s *Server) { s.KnowledgeChanged(feed.Status{Confirmed: true}) }
+func fresh(s *Server) { s.FeedStatusChanged(feed.Status{Confirmed: true}) }
 
 // askAs sends a request with an Authorization header, "" for none.
 func askAs(s *Server, path, authorization string) int {
@@ -69,7 +69,7 @@
 	s := gatewayOf(t)
 	s.dialect.Authorization = "Authorization"
 	withTenants(s, 2, tenant.Tenant{Name: "a"})
-	s.KnowledgeChanged(feed.Status{Confirmed: false})
+	s.FeedStatusChanged(feed.Status{Confirmed: false})
 	require.Equal(t, http.StatusServiceUnavailable, askAs(s, "/call/1", "Bearer new"))
 	fresh(s)
 	require.Equal(t, http.StatusUnauthorized, askAs(s, "/call/1", "Bearer new"))
@@ -90,7 +90,7 @@
 	s := gatewayOf(t)
 	s.dialect = Dialect{
 		RequestID: "X-Id", Deadline: "X-Deadline", ExpectedInstance: "X-Expected", Priority: "X-Priority",
-		Authorization: "Authorization", Tenant: "X-Tenant", EngineOrders: []string{"X-Reserve", "X-Keep"},
+		Authorization: "Authorization", Tenant: "X-Tenant", EngineControlHeaders: []string{"X-Reserve", "X-Keep"},
 	}
 	withTenants(s, 2)
 	r := &request{
