--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -93,7 +93,7 @@
 	knowledge := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleGateway, Seeds: config.Seeds, FirstStart: config.FirstStart, Store: store,
 		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
-		Evacuations:  config.EvacuationLimit > 0,
+		Evacuations:       config.EvacuationLimit > 0,
 		StoreStateChanged: func(err error) { process.contact("store", err) },
 		Handlers: feed.Handlers{
 			Status: server.FeedStatusChanged, Configuration: server.ConfigurationChanged, Instances: server.InstancesChanged,
--- a/internal/command/replica.go
+++ b/internal/command/replica.go
@@ -56,7 +56,7 @@
 	knowledge := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleReplica, Store: store,
 		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
-		Evacuations:  config.EvacuationLimit > 0,
+		Evacuations:       config.EvacuationLimit > 0,
 		StoreStateChanged: func(err error) { process.contact("store", err) },
 		Handlers: feed.Handlers{
 			Status: starting.knowledgeChanged, Members: starting.membersChanged, Retirements: starting.retirementsChanged, Configuration: starting.configurationChanged,
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -112,7 +112,7 @@
 	// StoreStateChanged is told that the store is lost to this process while it reads it, or
 	// reached again; StoreFailed of each call to the store that failed.
 	StoreStateChanged func(err error)
-	StoreCallFailed  func(kind string, err error)
+	StoreCallFailed   func(kind string, err error)
 }
 
 // asker is a process that polls this one.
--- a/internal/gateway/learnedcache.go
+++ b/internal/gateway/learnedcache.go
@@ -48,7 +48,9 @@
 }
 
 // EnableLearnedCache makes replicas keep what gateways learn. It must be called before Run.
-func (g *Gossip) EnableLearnedCache(log *log.Logger) { g.caches = &learnedCaches{log: log, asking: true} }
+func (g *Gossip) EnableLearnedCache(log *log.Logger) {
+	g.caches = &learnedCaches{log: log, asking: true}
+}
 
 // SetReplicas tells which replicas there are. The nearest ones keep what is learned here.
 func (g *Gossip) SetReplicas(nodes map[string]replicaset.Node) {
