--- a/internal/peer/budget.go
+++ b/internal/peer/budget.go
@@ -2,43 +2,45 @@
 
 import "sync"
 
-// leastBytes is the least that a message counts, also one that does not say its size.
-const leastBytes = 64
+// minMessageBytes is the minimum that a message counts against a budget. Messages that do not
+// report their size count exactly this much.
+const minMessageBytes = 64
 
-// sized is a message that knows about how many bytes it holds.
-type sized interface{ Bytes() int }
+// sizer is implemented by messages that report their approximate size in bytes.
+type sizer interface{ Bytes() int }
 
-// bytesOf returns about how many bytes a message holds. It must not change while it waits.
+// bytesOf returns the approximate size of a message in bytes. The size of a message must not change
+// while it is queued, because the same amount is released later.
 func bytesOf(message any) int {
-	if known, ok := message.(sized); ok {
-		return max(leastBytes, known.Bytes())
+	if sized, ok := message.(sizer); ok {
+		return max(minMessageBytes, sized.Bytes())
 	}
-	return leastBytes
+	return minMessageBytes
 }
 
-// Budget bounds the bytes that messages of several connections hold together. The memory of a
-// process is bounded by its budgets and its state, however slow its peers are.
-// One message larger than the whole budget passes alone. A nil budget is unbounded.
+// Budget bounds the total bytes of the messages that several connections hold. It keeps the memory
+// of a process bounded by its budgets and its state, however slow its peers are. A message larger
+// than the whole budget is admitted when nothing else is held. A nil budget is unbounded.
 type Budget struct {
 	limit int
 
-	mu     sync.Mutex
-	given  *sync.Cond
-	used   int
-	closed bool
+	mu       sync.Mutex
+	released *sync.Cond
+	used     int
+	closed   bool
 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget of limit bytes.
 func NewBudget(limit int) *Budget {
 	b := &Budget{limit: limit}
-	b.given = sync.NewCond(&b.mu)
+	b.released = sync.NewCond(&b.mu)
 	return b
 }
 
-// fits reports whether there is room. The caller holds the lock.
+// fits reports whether the bytes are available. The caller holds the lock.
 func (b *Budget) fits(bytes int) bool { return b.used == 0 || b.used+bytes <= b.limit }
 
-// TryAcquire takes bytes if there is room.
+// TryAcquire acquires the bytes if they are available and reports whether it did.
 func (b *Budget) TryAcquire(bytes int) bool {
 	if b == nil {
 		return true
@@ -52,7 +54,8 @@
 	return true
 }
 
-// Acquire takes bytes once there is room. It reports false when the budget was closed.
+// Acquire blocks until the bytes are available and acquires them. It returns false if the budget
+// was closed.
 func (b *Budget) Acquire(bytes int) bool {
 	if b == nil {
 		return true
@@ -60,7 +63,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for !b.closed && !b.fits(bytes) {
-		b.given.Wait()
+		b.released.Wait()
 	}
 	if !b.closed {
 		b.used += bytes
@@ -68,7 +71,7 @@
 	return !b.closed
 }
 
-// Release returns bytes that were taken.
+// Release returns acquired bytes to the budget.
 func (b *Budget) Release(bytes int) {
 	if b == nil {
 		return
@@ -76,20 +79,20 @@
 	b.mu.Lock()
 	b.used -= bytes
 	b.mu.Unlock()
-	b.given.Broadcast()
+	b.released.Broadcast()
 }
 
-// Used returns the bytes that are taken.
+// Used returns the number of acquired bytes.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// Close ends the wait of all that wait for room.
+// Close unblocks all waiting calls of Acquire.
 func (b *Budget) Close() {
 	b.mu.Lock()
 	b.closed = true
 	b.mu.Unlock()
-	b.given.Broadcast()
+	b.released.Broadcast()
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// queueMessages is how many messages may wait for a connection's writer. Room for
-	// them is made as they come: a replica has a connection from every gateway.
-	queueMessages = 8192
-	// keptMessages is the room that a connection keeps for the next messages.
-	keptMessages = 64
-	// bufferBytes is the size of the buffers before encoder and decoder.
+	// maxQueuedMessages is how many messages may be queued for a connection's writer. The queue
+	// grows on demand, because a replica has a connection from every gateway.
+	maxQueuedMessages = 8192
+	// maxSpareMessages is the largest queue capacity that a connection keeps for reuse.
+	maxSpareMessages = 64
+	// bufferBytes is the size of the write buffer and of the read buffer of a connection.
 	bufferBytes = 8 << 10
-	// redialDelay is the pause before the next try to reach a peer.
+	// redialDelay is the delay before the next attempt to connect to a peer.
 	redialDelay = 100 * time.Millisecond
 )
 
-// Handler receives what happens on a link. Its methods are called from the link's
-// own goroutine, one at a time.
+// Handler receives the events of a link. The link calls its methods from its own goroutine, one at
+// a time.
 type Handler[Receive any] interface {
-	// LinkUp says that a new connection stands; earlier messages may be lost.
+	// LinkUp reports a new connection. Messages sent on earlier ones may be lost.
 	LinkUp()
-	// LinkDown says that the connection ended.
+	// LinkDown reports that the connection ended.
 	LinkDown(err error)
-	// Received hands over one message.
+	// Received delivers one message.
 	Received(message Receive)
 }
 
-// SentCounter is what a Handler may be as well: it is told of the size of each message that
-// was written, from the connection's writer.
+// SentCounter is an optional interface of a Handler. The connection's writer goroutine calls Sent
+// with the encoded size of each message.
 type SentCounter[Send any] interface {
 	Sent(to net.Addr, message Send, bytes int)
 }
 
-// Link keeps a connection to one peer and dials again when it ends.
+// Link maintains a connection to one peer and reconnects when it ends.
 type Link[Send, Receive any] struct {
 	address string
 	handler Handler[Receive]
@@ -54,7 +54,7 @@
 	sender *sender[Send]
 }
 
-// NewLink starts a link that lives until Close or until the context ends.
+// NewLink starts a link that runs until Close or until the context ends.
 func NewLink[Send, Receive any](ctx context.Context, address string, handler Handler[Receive]) *Link[Send, Receive] {
 	ctx, cancel := context.WithCancel(ctx)
 	link := &Link[Send, Receive]{address: address, handler: handler, cancel: cancel}
@@ -62,8 +62,8 @@
 	return link
 }
 
-// Send queues a message. It reports false when there is no connection or its
-// queue is full; a true result does not mean that the peer received it.
+// Send queues a message. It returns false if there is no connection or its queue is full. A true
+// result does not mean that the peer received the message.
 func (l *Link[Send, Receive]) Send(message Send) bool {
 	l.mu.Lock()
 	sender := l.sender
@@ -71,8 +71,8 @@
 	return sender != nil && sender.send(message)
 }
 
-// Reconnect ends the present connection, and the link dials again: what fell silent on it may be
-// answered on a new one.
+// Reconnect closes the current connection, so that the link dials a new one. A peer that no longer
+// answers on one connection may answer on another.
 func (l *Link[Send, Receive]) Reconnect() {
 	l.mu.Lock()
 	sender := l.sender
@@ -82,14 +82,13 @@
 	}
 }
 
-// Close ends the link and waits for its goroutines. It must not be called from
-// the handler.
+// Close stops the link and waits for its goroutine. It must not be called from the handler.
 func (l *Link[Send, Receive]) Close() {
 	l.cancel()
 	l.running.Wait()
 }
 
-// CloseAsync ends the link without waiting.
+// CloseAsync stops the link without waiting for its goroutine.
 func (l *Link[Send, Receive]) CloseAsync() { l.cancel() }
 
 func (l *Link[Send, Receive]) run(ctx context.Context) {
@@ -103,15 +102,15 @@
 	}
 }
 
-// serve reads the connection until it ends.
+// serve delivers the messages of a connection to the handler until the connection ends.
 func (l *Link[Send, Receive]) serve(ctx context.Context, connection net.Conn) error {
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
-	var sent func(net.Addr, Send, int)
-	if counter, counts := l.handler.(SentCounter[Send]); counts {
-		sent = counter.Sent
+	var onSent func(net.Addr, Send, int)
+	if counter, ok := l.handler.(SentCounter[Send]); ok {
+		onSent = counter.Sent
 	}
-	sender := newSender(connection, nil, sent)
+	sender := newSender(connection, nil, onSent)
 	l.setSender(sender)
 	defer l.setSender(nil)
 	defer sender.close()
@@ -132,28 +131,28 @@
 	l.mu.Unlock()
 }
 
-// sender encodes queued messages and writes all that wait in one call.
+// sender encodes queued messages and writes all of them in one batch.
 type sender[Send any] struct {
 	connection net.Conn
-	// sent is told of each message's size, or nil.
-	sent func(to net.Addr, message Send, bytes int)
-	// budget bounds the bytes that wait, of this connection and others.
+	// onSent is called with the size of each encoded message; it may be nil.
+	onSent func(to net.Addr, message Send, bytes int)
+	// budget bounds the bytes queued on this connection and others that share it.
 	budget *Budget
-	// wake is signalled when messages wait.
+	// wake is signalled when messages are queued.
 	wake   chan struct{}
 	closed chan struct{}
 	once   sync.Once
 
-	mu      sync.Mutex
-	waiting []Send
-	// spare is the room of the messages written last.
+	mu    sync.Mutex
+	queue []Send
+	// spare is the slice of the last written batch, kept for reuse.
 	spare []Send
-	// ended is set when nothing is written any more.
-	ended bool
+	// stopped is set when the writer has stopped.
+	stopped bool
 }
 
-func newSender[Send any](connection net.Conn, budget *Budget, sent func(net.Addr, Send, int)) *sender[Send] {
-	s := &sender[Send]{connection: connection, budget: budget, sent: sent, wake: make(chan struct{}, 1), closed: make(chan struct{})}
+func newSender[Send any](connection net.Conn, budget *Budget, onSent func(net.Addr, Send, int)) *sender[Send] {
+	s := &sender[Send]{connection: connection, budget: budget, onSent: onSent, wake: make(chan struct{}, 1), closed: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -174,14 +173,15 @@
 	return true
 }
 
-// enqueue reports whether there was room for the message.
+// enqueue appends the message to the queue. It returns false if the writer has stopped, the queue
+// is full or the budget is exhausted.
 func (s *sender[Send]) enqueue(message Send) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || len(s.waiting) >= queueMessages || !s.budget.TryAcquire(bytesOf(message)) {
+	if s.stopped || len(s.queue) >= maxQueuedMessages || !s.budget.TryAcquire(bytesOf(message)) {
 		return false
 	}
-	s.waiting = append(s.waiting, message)
+	s.queue = append(s.queue, message)
 	return true
 }
 
@@ -192,19 +192,19 @@
 	})
 }
 
-// drop gives back the room of messages that will not be written any more.
-func (s *sender[Send]) drop() {
+// discardQueue discards the queued messages and releases their bytes after the writer has stopped.
+func (s *sender[Send]) discardQueue() {
 	s.mu.Lock()
-	s.ended = true
+	s.stopped = true
 	s.mu.Unlock()
-	s.release(s.take())
+	s.release(s.drain())
 }
 
 func (s *sender[Send]) run() {
-	defer s.drop()
+	defer s.discardQueue()
 	defer s.close()
 	buffer := bufio.NewWriterSize(s.connection, bufferBytes)
-	counted := &countingWriter{to: buffer}
+	counted := &countingWriter{writer: buffer}
 	encoder := gob.NewEncoder(counted)
 	for {
 		select {
@@ -212,7 +212,7 @@
 			return
 		case <-s.wake:
 		}
-		for batch := s.take(); len(batch) > 0; batch = s.take() {
+		for batch := s.drain(); len(batch) > 0; batch = s.drain() {
 			err := s.encode(encoder, counted, batch)
 			if err == nil {
 				err = buffer.Flush()
@@ -225,21 +225,21 @@
 	}
 }
 
-// encode writes a batch to the buffer before the connection.
+// encode encodes a batch into the connection's write buffer.
 func (s *sender[Send]) encode(encoder *gob.Encoder, counted *countingWriter, batch []Send) error {
 	for _, message := range batch {
 		if err := encoder.Encode(message); err != nil {
 			return err
 		}
-		if size := counted.take(); s.sent != nil {
-			s.sent(s.connection.RemoteAddr(), message, size)
+		if size := counted.resetCount(); s.onSent != nil {
+			s.onSent(s.connection.RemoteAddr(), message, size)
 		}
 	}
 	return nil
 }
 
-// release returns to the budget what a batch held. Until its last byte is written, the batch and
-// the buffer hold its messages.
+// release returns the bytes of a batch to the budget. It is called once the whole batch is written,
+// because the batch and the buffer hold its messages until then.
 func (s *sender[Send]) release(batch []Send) {
 	for _, message := range batch {
 		s.budget.Release(bytesOf(message))
@@ -247,18 +247,18 @@
 	s.reuse(batch)
 }
 
-// take returns all messages that wait.
-func (s *sender[Send]) take() []Send {
+// drain removes and returns all queued messages.
+func (s *sender[Send]) drain() []Send {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	batch := s.waiting
-	s.waiting, s.spare = s.spare, nil
+	batch := s.queue
+	s.queue, s.spare = s.spare, nil
 	return batch
 }
 
-// reuse keeps the room of written messages for the next ones, unless it is large.
+// reuse keeps the slice of a written batch for the next messages, unless it is large.
 func (s *sender[Send]) reuse(batch []Send) {
-	if cap(batch) > keptMessages {
+	if cap(batch) > maxSpareMessages {
 		return
 	}
 	clear(batch)
@@ -267,20 +267,20 @@
 	s.mu.Unlock()
 }
 
-// countingWriter counts the bytes of a message.
+// countingWriter counts the bytes written through it.
 type countingWriter struct {
-	to    io.Writer
-	bytes int
+	writer io.Writer
+	bytes  int
 }
 
 // Write implements io.Writer.
-func (w *countingWriter) Write(part []byte) (int, error) {
-	w.bytes += len(part)
-	return w.to.Write(part)
+func (w *countingWriter) Write(data []byte) (int, error) {
+	w.bytes += len(data)
+	return w.writer.Write(data)
 }
 
-// take returns what was written since the last call.
-func (w *countingWriter) take() int {
+// resetCount returns the number of bytes written since the last call.
+func (w *countingWriter) resetCount() int {
 	bytes := w.bytes
 	w.bytes = 0
 	return bytes
--- a/internal/peer/sender_test.go
+++ b/internal/peer/sender_test.go
@@ -11,13 +11,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// message is of the size of a replica's reply.
+// message has the size of a replica's reply.
 type message struct {
 	Number uint64
 	_      [120]byte
 }
 
-// pipe returns a sender and the decoder at its other end.
+// pipe returns a sender and a decoder for the other end of its connection.
 func pipe(t *testing.T) (*sender[message], *gob.Decoder) {
 	near, far := net.Pipe()
 	s := newSender[message](near, nil, nil)
@@ -25,9 +25,9 @@
 	return s, gob.NewDecoder(far)
 }
 
-func TestMessagesArriveInOrder(t *testing.T) {
+func TestSenderPreservesOrder(t *testing.T) {
 	s, decoder := pipe(t)
-	const count = 3 * keptMessages
+	const count = 3 * maxSpareMessages
 	for number := range uint64(count) {
 		require.True(t, s.send(message{Number: number}))
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTheSizeOfEachMessageIsTold(t *testing.T) {
+func TestSenderReportsMessageSizes(t *testing.T) {
 	near, far := net.Pipe()
 	sizes := make(chan int, 2)
 	s := newSender(near, nil, func(_ net.Addr, _ message, bytes int) { sizes <- bytes })
@@ -50,23 +50,23 @@
 	require.Less(t, <-sizes, first, "the first message carries the type's description")
 }
 
-func TestAPeerThatReadsNothingBoundsTheQueue(t *testing.T) {
+func TestSenderQueueIsBounded(t *testing.T) {
 	s, _ := pipe(t)
 	accepted := 0
 	for s.send(message{}) {
 		accepted++
-		require.Less(t, accepted, 3*queueMessages)
+		require.Less(t, accepted, 3*maxQueuedMessages)
 	}
-	require.GreaterOrEqual(t, accepted, queueMessages)
+	require.GreaterOrEqual(t, accepted, maxQueuedMessages)
 	s.close()
 	require.False(t, s.send(message{}))
 }
 
 func (m message) Bytes() int { return 1000 }
 
-// Those who read nothing hold no more memory together than the budget says, however many they
-// are; once they are gone, all of it is there again.
-func TestConnectionsThatReadNothingShareABudget(t *testing.T) {
+// Connections whose peers read nothing must not hold more bytes in total than their shared budget,
+// however many they are. Closing them must release all of it.
+func TestStalledConnectionsShareBudget(t *testing.T) {
 	const connections, limit = 20, 50_000
 	budget := NewBudget(limit)
 	var senders []*sender[message]
@@ -83,15 +83,16 @@
 		}
 	}
 	require.GreaterOrEqual(t, sent, limit/1000)
-	require.Less(t, sent, 3*limit/1000, "those that were sent at once, and those that wait")
+	require.Less(t, sent, 3*limit/1000, "messages being written and queued messages")
 	for _, s := range senders {
 		s.close()
 	}
 	require.Eventually(t, func() bool { return budget.Used() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// A message that is encoded but not yet written is still held, and still counts.
-func TestAMessageCountsUntilItIsWritten(t *testing.T) {
+// A message that is encoded but not yet written is still in memory and must still count against
+// the budget.
+func TestSenderHoldsBudgetUntilWritten(t *testing.T) {
 	const messages = 10
 	near, far := net.Pipe()
 	budget := NewBudget(2 * messages * message{}.Bytes())
@@ -107,26 +108,26 @@
 	require.Eventually(t, func() bool { return budget.Used() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-func TestABudgetMakesReadersWait(t *testing.T) {
+func TestBudgetAcquireBlocksUntilRelease(t *testing.T) {
 	budget := NewBudget(100)
-	require.True(t, budget.Acquire(1000), "what is larger than all of it passes alone")
+	require.True(t, budget.Acquire(1000), "a message larger than the whole budget is admitted alone")
 	require.False(t, budget.TryAcquire(1))
-	waited := make(chan bool)
-	go func() { waited <- budget.Acquire(60) }()
+	acquired := make(chan bool)
+	go func() { acquired <- budget.Acquire(60) }()
 	budget.Release(1000)
-	require.True(t, <-waited)
+	require.True(t, <-acquired)
 	require.False(t, budget.TryAcquire(60))
-	go func() { waited <- budget.Acquire(60) }()
+	go func() { acquired <- budget.Acquire(60) }()
 	budget.Close()
-	require.False(t, <-waited)
+	require.False(t, <-acquired)
 }
 
-// A replica has a connection from every gateway, and most of them rest.
-func TestARestingConnectionHoldsLittleMemory(t *testing.T) {
+// A replica has a connection from every gateway, and most of them are idle.
+func TestIdleConnectionHoldsLittleMemory(t *testing.T) {
 	const connections, limitKB = 50, 40
 	var before, after runtime.MemStats
 	runtime.GC()
-	runtime.GC() // what earlier tests kept in pools goes with the second one
+	runtime.GC() // the second run frees what earlier tests left in pools
 	runtime.ReadMemStats(&before)
 	var senders []*sender[message]
 	for range connections {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -7,41 +7,42 @@
 	"sync"
 )
 
-// Server accepts the links of peers.
+// Server accepts connections from the links of peers.
 type Server[Receive, Send any] struct {
 	listener net.Listener
 	receive  func(from *Connection[Send], message Receive)
-	sent     func(to net.Addr, message Send, bytes int)
-	// outgoing bounds what waits to be sent on all connections.
+	onSent   func(to net.Addr, message Send, bytes int)
+	// outgoing bounds the bytes queued for sending on all connections.
 	outgoing *Budget
 
-	mu     sync.Mutex
-	open   map[net.Conn]bool
-	closed bool
+	mu          sync.Mutex
+	connections map[net.Conn]bool
+	closed      bool
 }
 
-// Connection sends answers to one peer.
+// Connection sends replies to one peer.
 type Connection[Send any] struct {
 	sender *sender[Send]
 }
 
-// Send queues a message; it reports false when the connection ended or is full.
+// Send queues a message. It returns false if the connection ended, its queue is full or the budget
+// is exhausted.
 func (c *Connection[Send]) Send(message Send) bool { return c.sender.send(message) }
 
-// NewServer returns a server over the listener. receive is called from one
-// goroutine for each connection.
+// NewServer returns a server for the listener. receive is called from one goroutine per
+// connection.
 func NewServer[Receive, Send any](listener net.Listener, receive func(*Connection[Send], Receive)) *Server[Receive, Send] {
-	return &Server[Receive, Send]{listener: listener, receive: receive, open: map[net.Conn]bool{}}
+	return &Server[Receive, Send]{listener: listener, receive: receive, connections: map[net.Conn]bool{}}
 }
 
-// CountSent makes the server tell of the size of each message that was written. It must be
-// called before Run.
-func (s *Server[Receive, Send]) CountSent(sent func(to net.Addr, message Send, bytes int)) {
-	s.sent = sent
+// CountSent makes the server call onSent with the encoded size of each message. It must be called
+// before Run.
+func (s *Server[Receive, Send]) CountSent(onSent func(to net.Addr, message Send, bytes int)) {
+	s.onSent = onSent
 }
 
-// LimitOutgoing bounds the bytes of messages that wait to be sent, on all connections
-// together. It must be called before Run.
+// LimitOutgoing bounds the total bytes of the messages queued for sending on all connections. It
+// must be called before Run.
 func (s *Server[Receive, Send]) LimitOutgoing(budget *Budget) { s.outgoing = budget }
 
 // Run accepts connections until Close.
@@ -61,13 +62,13 @@
 	}
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (s *Server[Receive, Send]) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	_ = s.listener.Close()
-	for connection := range s.open {
+	for connection := range s.connections {
 		_ = connection.Close()
 	}
 }
@@ -85,16 +86,16 @@
 		_ = connection.Close()
 		return false
 	}
-	s.open[connection] = true
+	s.connections[connection] = true
 	return true
 }
 
 func (s *Server[Receive, Send]) read(connection net.Conn) {
-	accepted := &Connection[Send]{sender: newSender(connection, s.outgoing, s.sent)}
+	accepted := &Connection[Send]{sender: newSender(connection, s.outgoing, s.onSent)}
 	defer func() {
 		accepted.sender.close()
 		s.mu.Lock()
-		delete(s.open, connection)
+		delete(s.connections, connection)
 		s.mu.Unlock()
 	}()
 	decoder := gob.NewDecoder(bufio.NewReaderSize(connection, bufferBytes))
--- a/internal/peer/silence.go
+++ b/internal/peer/silence.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// SilenceDetector is how long nothing has been answered on a connection: the time since the oldest
-// request was sent that nothing has followed. It is a pure value; its zero value awaits nothing.
+// SilenceDetector measures how long a peer has sent nothing on a connection while a request is
+// unanswered, counted from the oldest request since the last message. It does not read the clock.
+// Its zero value has no outstanding request.
 type SilenceDetector struct{ since time.Time }
 
-// RequestSent notes that a request was sent.
+// RequestSent records that a request was sent.
 func (s *SilenceDetector) RequestSent(now time.Time) {
 	if s.since.IsZero() {
 		s.since = now
 	}
 }
 
-// Reset notes that something came, or that the connection was replaced.
+// Reset records that a message was received or that the connection was replaced.
 func (s *SilenceDetector) Reset() { s.since = time.Time{} }
 
-// Exceeds reports whether an answer has been awaited for more than that time.
+// Exceeds reports whether the peer has been silent for longer than the limit.
 func (s *SilenceDetector) Exceeds(limit time.Duration, now time.Time) bool {
 	return !s.since.IsZero() && now.Sub(s.since) > limit
 }
 
-// TimedOut reports whether the connection must be replaced: open connections may go silent for
-// good without a reset.
+// TimedOut reports whether the peer has been silent for AnswerTimeout, so that the connection must
+// be replaced. An open connection can stop delivering messages permanently without a reset.
 func (s *SilenceDetector) TimedOut(now time.Time) bool {
 	return !s.since.IsZero() && now.Sub(s.since) >= AnswerTimeout
 }
--- a/internal/peer/silence_test.go
+++ b/internal/peer/silence_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSilenceLastsFromTheOldestUnansweredRequest(t *testing.T) {
+func TestSilenceDetectorMeasuresFromOldestRequest(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var silence SilenceDetector
-	require.False(t, silence.TimedOut(now.Add(time.Hour)), "nothing is awaited")
+	require.False(t, silence.TimedOut(now.Add(time.Hour)), "no request is outstanding")
 	silence.RequestSent(now)
 	silence.RequestSent(now.Add(AnswerTimeout - time.Millisecond))
 	require.False(t, silence.TimedOut(now.Add(AnswerTimeout-time.Millisecond)))
