--- a/internal/quorum/availability.go
+++ b/internal/quorum/availability.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	// quorumLostAfter is how long too few replicas of a cell must be connected before turns
-	// go to another region's: a restart of a replica is over, or a lost connection made anew,
-	// within it.
-	quorumLostAfter = 300 * time.Millisecond
-	// silentAfter is how long a connected replica may leave all requests without any reply
-	// before it counts as out of reach. One that is merely slow goes on replying; a connection to
-	// a machine without power is closed only after 1.5 s.
-	silentAfter = 500 * time.Millisecond
-	// relayedLife is how long a replica counts as connected after a relayed answer: a gateway
-	// that is cut off from its region's replicas goes on using them through relays.
-	relayedLife = 2 * time.Second
+	// quorumLossDelay is how long a cell must be without a reachable quorum before turns go to
+	// another region's cell. A replica restarts, and a lost connection is reopened, within it.
+	quorumLossDelay = 300 * time.Millisecond
+	// silenceThreshold is how long a connected replica may leave all requests without a reply
+	// before it counts as unreachable. A replica that is only slow keeps replying, while the
+	// connection to a machine that lost power is closed only after 1.5 s.
+	silenceThreshold = 500 * time.Millisecond
+	// relayReplyTTL is how long a replica counts as reachable after a relayed reply, so that a
+	// gateway that is cut off from the replicas of its region keeps using them through relays.
+	relayReplyTTL = 2 * time.Second
 )
 
-// quorumReach tracks whether enough replicas of a cell are in reach. It is a pure value
-// without a clock.
-type quorumReach struct {
-	// missingSince is when too few were first seen in reach; zero while enough are.
-	missingSince time.Time
-	lost         bool
+// quorumAvailability tracks whether a cell has a reachable quorum, and tolerates short losses. It
+// does not read the clock.
+type quorumAvailability struct {
+	// belowQuorumSince is when the quorum was first seen to be unreachable; zero while it is
+	// reachable.
+	belowQuorumSince time.Time
+	lost             bool
 }
 
-// observe takes what is in reach now. It reports whether the cell may serve, and whether
-// that has changed.
-func (q *quorumReach) observe(now time.Time, enough bool) (serves, changed bool) {
+// observe records whether a quorum is reachable now. It returns whether the cell can serve requests
+// and whether that has changed since the last call.
+func (q *quorumAvailability) observe(now time.Time, hasQuorum bool) (available, changed bool) {
 	switch {
-	case enough:
-		q.missingSince = time.Time{}
-	case q.missingSince.IsZero():
-		q.missingSince = now
+	case hasQuorum:
+		q.belowQuorumSince = time.Time{}
+	case q.belowQuorumSince.IsZero():
+		q.belowQuorumSince = now
 	}
-	lost := !enough && now.Sub(q.missingSince) >= quorumLostAfter
+	lost := !hasQuorum && now.Sub(q.belowQuorumSince) >= quorumLossDelay
 	changed = lost != q.lost
 	q.lost = lost
 	return !lost, changed
@@ -43,48 +43,49 @@
 func (c *Client) Ready() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.quorumOf(func(r *replicaLink) bool { return r.up })
+	return c.quorumSatisfies(func(r *replicaLink) bool { return r.up })
 }
 
-// serves reports whether the cell may serve: a quorum is in reach, was so moments ago, or was
-// not tried.
-func (c *Client) serves(now time.Time) bool {
+// isAvailable reports whether the cell can serve requests: a quorum is reachable, was reachable
+// within quorumLossDelay, or has not been tried yet.
+func (c *Client) isAvailable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	enough := c.reachesLocked(now)
-	serves, changed := c.reach.observe(now, enough)
+	hasQuorum := c.quorumReachableLocked(now)
+	available, changed := c.availability.observe(now, hasQuorum)
 	if changed {
-		c.log.Warn().Str("event", "quorum_reach_changed").Int("cell", c.cell).Bool("lost", !serves).Uint64("epoch", c.set.Epoch).Msg("")
+		c.log.Warn().Str("event", "quorum_reach_changed").Int("cell", c.cell).Bool("lost", !available).Uint64("epoch", c.set.Epoch).Msg("")
 	}
-	return serves
+	return available
 }
 
-// reaches reports whether a quorum is in reach at this moment, or was not tried.
-func (c *Client) reaches(now time.Time) bool {
+// quorumReachable reports whether a quorum is reachable now or has not been tried yet.
+func (c *Client) quorumReachable(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reachesLocked(now)
+	return c.quorumReachableLocked(now)
 }
 
-// reachesLocked is reaches for callers that hold the lock.
-func (c *Client) reachesLocked(now time.Time) bool {
-	return c.quorumOf(func(r *replicaLink) bool {
-		return r.up && !r.silent(now) || r.opening(now) || now.Sub(r.relayedAt) < relayedLife
+// quorumReachableLocked is like quorumReachable. The caller holds the lock.
+func (c *Client) quorumReachableLocked(now time.Time) bool {
+	return c.quorumSatisfies(func(r *replicaLink) bool {
+		return r.up && !r.silent(now) || r.opening(now) || now.Sub(r.lastRelayReplyAt) < relayReplyTTL
 	})
 }
 
-// quorumOf reports whether a quorum of voters meets a condition. The caller holds the lock.
-func (c *Client) quorumOf(met func(*replicaLink) bool) bool {
+// quorumSatisfies reports whether a quorum of the voters satisfies a condition. The caller holds
+// the lock.
+func (c *Client) quorumSatisfies(condition func(*replicaLink) bool) bool {
 	count := 0
 	for _, replica := range c.replicas {
-		if c.set.Has(replica.node.Disk) && met(replica) {
+		if c.set.Has(replica.node.Disk) && condition(replica) {
 			count++
 		}
 	}
 	return len(c.set.Voters) > 0 && count >= c.set.Quorum()
 }
 
-// silent reports whether the replica has left requests without any reply for long.
+// silent reports whether the replica has not replied to requests for longer than silenceThreshold.
 func (r *replicaLink) silent(now time.Time) bool {
-	return r.silence.Exceeds(silentAfter, now)
+	return r.silence.Exceeds(silenceThreshold, now)
 }
--- a/internal/quorum/borrow.go
+++ b/internal/quorum/borrow.go
@@ -13,49 +13,50 @@
 	"swiftbank.dev/swiftbank/internal/quota"
 )
 
-// Lenders returns the names of the cell's voters, in the order in which this gateway asks
-// them for allowances of a tenant: those that answer directly before others, then the
-// nearest. Equals come in an order that differs by tenant, so that one voter does not get all
+// Lenders returns the names of the cell's voters in the order in which this gateway asks them for
+// allowances of a tenant. Voters that are responsive on the direct connection come first, then the
+// nearest. Ties are broken by a hash of voter and tenant, so that one voter does not get all
 // requests of a zone.
 func (c *Client) Lenders(tenant string) []string {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	type candidate struct {
-		name     string
-		silent   bool
-		distance place.Distance
-		turn     uint64
+		name         string
+		unresponsive bool
+		distance     place.Distance
+		tieBreaker   uint64
 	}
 	var candidates []candidate
 	for _, replica := range c.replicas {
 		if replica.node.Disk != "" && c.set.Has(replica.node.Disk) {
 			candidates = append(candidates, candidate{
-				name: replica.node.Name, silent: !c.responsive(now, replica), distance: c.distance(replica),
-				turn: xxhash.Sum64String(replica.node.Name + "/" + tenant),
+				name: replica.node.Name, unresponsive: !c.responsive(now, replica), distance: c.distance(replica),
+				tieBreaker: xxhash.Sum64String(replica.node.Name + "/" + tenant),
 			})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		if a.silent != b.silent {
-			if a.silent {
+		if a.unresponsive != b.unresponsive {
+			if a.unresponsive {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.turn, b.turn))
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(a.tieBreaker, b.tieBreaker))
 	})
 	names := make([]string, 0, len(candidates))
-	for _, found := range candidates {
-		names = append(names, found.name)
+	for _, lender := range candidates {
+		names = append(names, lender.name)
 	}
 	return names
 }
 
-// Borrow asks one voter for allowances and waits for its answer. It goes by another gateway
-// where the direct connection is not responsive.
-func (c *Client) Borrow(ctx context.Context, lender string, asked quota.Borrow) (quota.Loan, error) {
-	pending := &operation{request: ledger.Request{Borrow: &asked}, only: lender}
+// Borrow requests allowances from one voter and waits for the reply. The request goes through a
+// relay if the direct connection is not responsive. It returns ErrNoQuorum if the context ends
+// first.
+func (c *Client) Borrow(ctx context.Context, lender string, borrow quota.Borrow) (quota.Loan, error) {
+	pending := &operation{request: ledger.Request{Borrow: &borrow}, onlyReplica: lender}
 	number := c.begin(pending)
 	defer c.end(number)
 	if err := c.await(ctx, pending, func() bool { return pending.loan != nil }); err != nil {
--- a/internal/quorum/borrow_test.go
+++ b/internal/quorum/borrow_test.go
@@ -11,10 +11,10 @@
 	"swiftbank.dev/swiftbank/internal/quota"
 )
 
-// A lender lends its own share: an allowance that several lenders were asked for would be
-// lent several times.
-func TestOnlyTheLenderThatIsNamedIsAsked(t *testing.T) {
-	client, replicas := startThree(t)
+// Each lender lends its own share. A request sent to several lenders would be granted several
+// times.
+func TestBorrowAsksOnlyNamedLender(t *testing.T) {
+	client, replicas := startThreeReplicas(t)
 	asked := make(chan string, len(replicas))
 	for _, replica := range replicas {
 		replica.lend = func(request ledger.Request) ledger.Reply {
@@ -22,16 +22,16 @@
 			return ledger.Reply{Number: request.Number, Disk: replica.node.Disk, Loan: &quota.Loan{Waiting: request.Borrow.Waiting}}
 		}
 	}
-	lent, err := client.Borrow(limited(t, 20*time.Second), "r1", quota.Borrow{Tenant: "t", Waiting: 2})
+	loan, err := client.Borrow(contextWithTimeout(t, 20*time.Second), "r1", quota.Borrow{Tenant: "t", Waiting: 2})
 	require.NoError(t, err)
-	require.Equal(t, 2, lent.Waiting)
+	require.Equal(t, 2, loan.Waiting)
 	require.Equal(t, "r1", <-asked)
 	require.Empty(t, asked)
 }
 
-func TestALenderThatIsSilentIsGivenUpAndAskedLast(t *testing.T) {
-	client, replicas := startThree(t)
-	require.Eventually(t, func() bool { return client.Lenders("t")[0] == "r0" }, 20*time.Second, time.Millisecond, "the nearest comes first once it is connected")
+func TestLendersOrdersSilentLenderLast(t *testing.T) {
+	client, replicas := startThreeReplicas(t)
+	require.Eventually(t, func() bool { return client.Lenders("t")[0] == "r0" }, 20*time.Second, time.Millisecond, "the nearest lender comes first once it is connected")
 	require.ElementsMatch(t, []string{"r0", "r1", "r2"}, client.Lenders("t"))
 	replicas[0].lend = func(ledger.Request) ledger.Reply { return ledger.Reply{Disk: "disk-r0"} } // answers another request
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -42,8 +42,8 @@
 	require.Eventually(t, func() bool { lenders := client.Lenders("t"); return lenders[2] == "r0" }, 20*time.Second, time.Millisecond)
 }
 
-func TestAReplicaThatDoesNotVoteIsNoLender(t *testing.T) {
-	client, replicas := startThree(t)
+func TestLendersExcludesNonVoters(t *testing.T) {
+	client, replicas := startThreeReplicas(t)
 	client.SetReplicas(nodesOf(replicas...), setOf(2, replicas[0], replicas[1]))
 	require.ElementsMatch(t, []string{"r0", "r1"}, client.Lenders("t"))
 }
--- a/internal/quorum/budget.go
+++ b/internal/quorum/budget.go
@@ -8,59 +8,59 @@
 	"swiftbank.dev/swiftbank/internal/ledger"
 )
 
-// ReserveInOtherRegions reserves an accepted reservation's charge in the program's cells of the
-// other regions as well, and makes Others the sum over all regions. From then on the
-// reservation is durable once it is so in all of them. After an error the charge may be
-// recorded in some of them: settle it in all regions (SettleElsewhere). It fails at once if a region's cell is known to have
-// no quorum.
-func (c *Cells) ReserveInOtherRegions(ctx context.Context, r *Reservation, asked ledger.Reserve) error {
-	asked.History = ""
-	others := c.otherRegions(asked.Program, r.client)
+// ReserveInOtherRegions reserves the charge of an accepted reservation in the program's cells of
+// the other regions as well, and sets OtherTurnTokens to the sum over all regions. From then on the
+// reservation is durable once it is durable in all of them. It returns ErrNoQuorum immediately if a
+// region's cell is known to have no quorum. After an error the charge may be recorded in some
+// regions; the caller must settle it in all of them (SettleInOtherRegions).
+func (c *Cells) ReserveInOtherRegions(ctx context.Context, r *Reservation, reserve ledger.Reserve) error {
+	reserve.History = ""
+	others := c.otherRegions(reserve.Program, r.client)
 	for _, client := range others {
-		if !client.serves(time.Now()) {
+		if !client.isAvailable(time.Now()) {
 			return ErrNoQuorum
 		}
 	}
 	reservations := make([]*Reservation, len(others))
-	failed := make(chan error, len(others))
+	results := make(chan error, len(others))
 	for index, client := range others {
 		go func() {
 			var err error
-			reservations[index], err = client.Reserve(ctx, asked)
-			failed <- err
+			reservations[index], err = client.Reserve(ctx, reserve)
+			results <- err
 		}()
 	}
 	var err error
 	for range others {
-		if each := <-failed; each != nil {
-			err = each
+		if reserveErr := <-results; reserveErr != nil {
+			err = reserveErr
 		}
 	}
 	for _, reservation := range reservations {
 		if reservation != nil {
-			r.elsewhere = append(r.elsewhere, reservation)
+			r.otherRegions = append(r.otherRegions, reservation)
 		}
 	}
 	if err != nil {
 		return err
 	}
 	charges := []map[string]ledger.Charge{r.charges()}
-	for _, reservation := range r.elsewhere {
+	for _, reservation := range r.otherRegions {
 		charges = append(charges, reservation.charges())
 	}
-	r.OtherTurnTokens = unionOthers(asked.Charge.Turn, charges...)
+	r.OtherTurnTokens = unionOtherTokens(reserve.Charge.Turn, charges...)
 	return nil
 }
 
-// SettleInOtherRegions records a final charge in the program's cells of the regions other than the
-// client's.
-func (c *Cells) SettleInOtherRegions(own *Client, settled ledger.Commit) {
-	for _, client := range c.otherRegions(settled.Program, own) {
-		client.Settle(settled.Program, settled.Charge, settled.Retention)
+// SettleInOtherRegions records a final charge in the program's cells of all regions except the
+// region of own. It does not wait for the replicas.
+func (c *Cells) SettleInOtherRegions(own *Client, commit ledger.Commit) {
+	for _, client := range c.otherRegions(commit.Program, own) {
+		client.Settle(commit.Program, commit.Charge, commit.Retention)
 	}
 }
 
-// otherRegions returns the program's cells in the regions other than a client's.
+// otherRegions returns the clients of the program's cells in all regions except the region of own.
 func (c *Cells) otherRegions(program string, own *Client) []*Client {
 	var others []*Client
 	for _, client := range c.ForProgramInAllRegions(program) {
@@ -71,7 +71,7 @@
 	return others
 }
 
-// charges returns what the replicas that answered hold of the program's charges.
+// charges returns the program's charges that the replicas have reported so far.
 func (r *Reservation) charges() map[string]ledger.Charge {
 	r.client.mu.Lock()
 	defer r.client.mu.Unlock()
--- a/internal/quorum/cells.go
+++ b/internal/quorum/cells.go
@@ -17,9 +17,9 @@
 	"swiftbank.dev/swiftbank/internal/traffic"
 )
 
-// Cells holds a client for each cell of replicas. A program's turns and charges
-// are kept in the cell that it hashes to, among those of the region where it runs. It is
-// safe for concurrent use.
+// Cells holds a client for each cell of replicas. A program's turns and charges are stored in the
+// cell that its name hashes to, among the cells of the region where it runs. It is safe for
+// concurrent use.
 type Cells struct {
 	context context.Context
 	// node is this gateway's name.
@@ -35,27 +35,29 @@
 	layout replicaset.Layout
 }
 
-// keptCells is how many cells of its region a gateway keeps connections to without using them:
-// they show that it reaches replicas, and one of them may be without a quorum. Connections to
-// all cells would be as many as gateways times replicas, 104,000 in a fleet of 865 and 120, of
-// which each holds two goroutines and two gob codecs at both ends.
-const keptCells = 2
+// maxPreconnectedCells is how many cells of its region a gateway stays connected to even when it
+// does not use them. The connections show that the gateway reaches replicas; there are two because
+// one of the cells may be without a quorum. Connections to all cells would number gateways times
+// replicas, 104,000 in a fleet of 865 gateways and 120 replicas, and each one holds two goroutines
+// and two gob codecs at both ends.
+const maxPreconnectedCells = 2
 
-// NewCells returns clients for no cells yet, for the named gateway in the zone.
+// NewCells returns an empty set of cells for the named gateway in the zone. SetMembership adds the
+// clients.
 func NewCells(ctx context.Context, node, zone string, places place.Map, logger *log.Logger) *Cells {
 	return &Cells{context: ctx, node: node, zone: zone, places: places, log: logger}
 }
 
-// UseRelays makes the clients go through other gateways where their own connection to a replica is
-// cut. It must be called before SetMembership.
+// UseRelays makes the clients send requests through other gateways when their direct connection to
+// a replica is down or unresponsive. It must be called before SetMembership.
 func (c *Cells) UseRelays(relays *Relays) {
 	c.relays = relays
-	relays.replied = c.relayed
-	relays.reopened = c.relayReopened
+	relays.onReply = c.handleRelayReply
+	relays.onReconnect = c.handleRelayReconnect
 }
 
-// CountTraffic makes the clients and relays count what they send. It must be called before
-// SetMembership.
+// CountTraffic makes the clients and relays count the bytes that they send. It must be called
+// before SetMembership.
 func (c *Cells) CountTraffic(counter *traffic.Counter) {
 	c.traffic = counter
 	if c.relays != nil {
@@ -63,17 +65,18 @@
 	}
 }
 
-// relayed applies a reply that came by another gateway.
-func (c *Cells) relayed(reply RelayReply) {
+// handleRelayReply passes a reply that arrived through a relay to the client of its cell.
+func (c *Cells) handleRelayReply(reply RelayReply) {
 	for cell, client := range c.clients() {
 		if cell == reply.Cell {
-			client.relayed(reply)
+			client.handleRelayReply(reply)
 		}
 	}
 }
 
-// relayReopened sends again what a new connection to a relaying gateway may have lost.
-func (c *Cells) relayReopened() {
+// handleRelayReconnect retries the pending operations, whose requests may have been lost with the
+// previous connection to the relay.
+func (c *Cells) handleRelayReconnect() {
 	for _, client := range c.clients() {
 		client.retryAll()
 	}
@@ -85,7 +88,7 @@
 	return c.cells
 }
 
-// SetMembership replaces the cells by what the registry holds.
+// SetMembership applies the cell layout, replicas and replica sets of the registry.
 func (c *Cells) SetMembership(membership replicaset.Membership) {
 	if !membership.HasLayout {
 		return
@@ -109,36 +112,38 @@
 	}
 }
 
-// newClient returns the client of a cell. The caller holds the lock.
+// newClient creates the client of a cell. The caller holds the lock.
 func (c *Cells) newClient(cell int) *Client {
 	client := NewClient(c.context, c.zone, c.log)
 	client.places, client.traffic = c.places, c.traffic
-	client.onDemand = !slices.Contains(c.keptCells(), cell)
+	client.onDemand = !slices.Contains(c.preconnectedCells(), cell)
 	if c.relays != nil {
 		client.useRelays(c.relays, cell)
 	}
 	return client
 }
 
-// keptCells returns the cells that this gateway keeps connections to: the first of its own
-// region, or of all where that has none, by rendezvous hashing, so that gateways spread evenly
-// over the cells. The others are connected to when they are needed. The caller holds the lock.
-func (c *Cells) keptCells() []int {
-	near := c.layout.CellsIn(c.places.Region(c.zone))
-	if len(near) == 0 {
+// preconnectedCells returns the cells that this gateway stays connected to. It chooses among the
+// cells of its own region, or among all cells if the region has none, by rendezvous hashing, so
+// that gateways spread evenly over the cells. Connections to other cells are opened on demand. The
+// caller holds the lock.
+func (c *Cells) preconnectedCells() []int {
+	candidates := c.layout.CellsIn(c.places.Region(c.zone))
+	if len(candidates) == 0 {
 		for cell := range c.layout.Cells {
-			near = append(near, cell)
+			candidates = append(candidates, cell)
 		}
 	}
 	rank := func(cell int) uint64 { return xxhash.Sum64String(c.node + "/" + strconv.Itoa(cell)) }
-	slices.SortFunc(near, func(a, b int) int { return cmp.Compare(rank(a), rank(b)) })
-	return near[:min(keptCells, len(near))]
+	slices.SortFunc(candidates, func(a, b int) int { return cmp.Compare(rank(a), rank(b)) })
+	return candidates[:min(maxPreconnectedCells, len(candidates))]
 }
 
-// ForProgram returns the client of the program's cell: one of the own region, or of the first region
-// within the homes where the own one has none, is not within them, or has been without a
-// quorum for a while. It returns nil while no cell is known, and where no region within the
-// homes has one. Wherever a turn is kept, the escrow holds the program's budget.
+// ForProgram returns the client of the program's cell. It prefers the gateway's own region. If that
+// has no cell, is not allowed by homes, or has been without a quorum for quorumLossDelay, it falls
+// back to the first other region that is allowed and has a quorum. If no allowed region has a
+// quorum, it returns the first allowed cell. It returns nil if no cell is known or no allowed
+// region has one. The escrow enforces the program's budget in whichever region a turn is stored.
 func (c *Cells) ForProgram(program string, homes place.Homes) *Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -152,11 +157,11 @@
 	now := time.Now()
 	var first *Client
 	for _, region := range append([]string{own}, c.regions()...) {
-		client := c.inRegion(program, region)
+		client := c.clientInRegion(program, region)
 		if client == nil || !homes.Allow(region) {
 			continue
 		}
-		if client.serves(now) {
+		if client.isAvailable(now) {
 			return client
 		}
 		if first == nil {
@@ -166,32 +171,33 @@
 	return first
 }
 
-// Failover returns the program's cell of another region within the homes that replaces a cell
-// without a quorum in reach; nil if the cell has one, or there is no other.
-func (c *Cells) Failover(of *Client, program string, homes place.Homes) *Client {
+// Failover returns the program's cell in another region allowed by homes to replace a cell that
+// cannot reach a quorum. It returns nil if the current cell reaches one or no other region can
+// serve.
+func (c *Cells) Failover(current *Client, program string, homes place.Homes) *Client {
 	now := time.Now()
-	if of.reaches(now) {
+	if current.quorumReachable(now) {
 		return nil
 	}
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for _, region := range c.regions() {
-		client := c.inRegion(program, region)
-		if client != of && homes.Allow(region) && client.serves(now) {
+		client := c.clientInRegion(program, region)
+		if client != current && homes.Allow(region) && client.isAvailable(now) {
 			return client
 		}
 	}
 	return nil
 }
 
-// regions returns the regions that have cells, by name. The caller holds the lock.
+// regions returns the names of the regions that have cells, sorted. The caller holds the lock.
 func (c *Cells) regions() []string {
 	return slices.Compact(slices.Sorted(slices.Values(c.layout.Regions)))
 }
 
-// inRegion returns the client of the program's cell in a region, or nil. The caller holds
-// the lock.
-func (c *Cells) inRegion(program, region string) *Client {
+// clientInRegion returns the client of the program's cell in a region, or nil if the region has no
+// cells. The caller holds the lock.
+func (c *Cells) clientInRegion(program, region string) *Client {
 	cells := c.layout.CellsIn(region)
 	if len(cells) == 0 {
 		return nil
@@ -199,7 +205,7 @@
 	return c.cells[cells[replicaset.CellOf(program, len(cells))]]
 }
 
-// ForProgramInAllRegions returns the program's cell in each region that has cells.
+// ForProgramInAllRegions returns the clients of the program's cell in each region that has cells.
 func (c *Cells) ForProgramInAllRegions(program string) []*Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -211,13 +217,13 @@
 	}
 	var clients []*Client
 	for _, region := range c.regions() {
-		clients = append(clients, c.inRegion(program, region))
+		clients = append(clients, c.clientInRegion(program, region))
 	}
 	return clients
 }
 
-// ForTenant returns the client of the cell that lends a tenant's allowances, or nil. A limit
-// holds over all regions, so it lies in one cell of the whole fleet.
+// ForTenant returns the client of the cell that lends a tenant's allowances, or nil if no cell is
+// known. A limit applies across all regions, so a single cell of the fleet manages it.
 func (c *Cells) ForTenant(tenant string) *Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -227,12 +233,13 @@
 	return c.cells[replicaset.CellOf(tenant, len(c.cells))]
 }
 
-// Reachable reports whether a quorum of some cell is connected directly.
+// Reachable reports whether a quorum of at least one cell is connected directly.
 func (c *Cells) Reachable() bool {
 	return slices.ContainsFunc(c.clients(), (*Client).Ready)
 }
 
-// PendingOperations returns how many requests are sent again with each new connection and each new set.
+// PendingOperations returns the number of operations in progress. Their requests are sent again on
+// each new connection and for each new replica set.
 func (c *Cells) PendingOperations() int {
 	pending := 0
 	for _, client := range c.clients() {
@@ -243,25 +250,25 @@
 	return pending
 }
 
-// ChainFromOtherCells looks for a turn in the cells other than the program's own, in regions
-// within the homes, and returns it with all turns before it, newest first: a program may go
-// on from a turn of another one, or come from another region. None does not mean that there
-// is none.
+// ChainFromOtherCells searches the cells other than the program's own, in regions allowed by homes,
+// for a turn, and returns it with all turns before it, newest first. The turn may be in another
+// cell because a program can continue a turn of another program or move between regions. An empty
+// result does not prove that the turn does not exist.
 func (c *Cells) ChainFromOtherCells(ctx context.Context, program, turn string, homes place.Homes) []ledger.Turn {
 	own := c.ForProgram(program, homes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	cells := c.within(homes)
+	cells := c.clientsWithin(homes)
 	results := make(chan []ledger.Turn, len(cells))
-	asked := 0
+	queried := 0
 	for _, client := range cells {
 		if client == own {
 			continue
 		}
-		asked++
+		queried++
 		go func() { results <- client.Chain(ctx, turn) }()
 	}
-	for range asked {
+	for range queried {
 		if chain := <-results; len(chain) > 0 {
 			return chain
 		}
@@ -269,8 +276,8 @@
 	return nil
 }
 
-// within returns the clients of the cells in regions within the homes.
-func (c *Cells) within(homes place.Homes) []*Client {
+// clientsWithin returns the clients of the cells in regions allowed by homes.
+func (c *Cells) clientsWithin(homes place.Homes) []*Client {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	var clients []*Client
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// settleLimit is how long a final charge without a waiting caller is repeated. It
-	// outlasts a recovery: a reservation that nobody settles counts at its most.
-	settleLimit = time.Minute
+	// settleTimeout is how long Settle retries a final charge. It is longer than a recovery,
+	// because a reservation that is never settled counts with its full reserved amount.
+	settleTimeout = time.Minute
 )
 
-// ErrNoQuorum says that too few replicas answered in time. What was asked for may
-// or may not be recorded.
+// ErrNoQuorum is returned when too few replicas answered in time. The request may or may not be
+// recorded.
 var ErrNoQuorum = errors.New("quorum: too few replicas answered in time")
 
 // Client sends requests to the replicas of one cell. It is safe for concurrent use.
@@ -34,114 +34,116 @@
 	log     *log.Logger
 	places  place.Map
 	traffic *traffic.Counter
-	// onDemand says that connections to the replicas are opened for a request and closed after
-	// onDemandIdle without one.
+	// onDemand is set if connections to the replicas are opened for a request and closed after
+	// onDemandIdleTimeout without one.
 	onDemand bool
 
 	mu         sync.Mutex
 	set        replicaset.Set
 	replicas   []*replicaLink
-	number     uint64
+	lastNumber uint64
 	operations map[uint64]*operation
-	// relays sends requests through other gateways, or is nil; cell is this client's number there.
+	// relays sends requests through other gateways; it may be nil. cell is the number of this
+	// client's cell in relay messages.
 	relays *Relays
 	cell   int
-	// forwards are the requests of other gateways that were passed on, by their number
-	// on the links here.
+	// forwards are the requests forwarded for other gateways, by their number on this gateway's
+	// links.
 	forwards map[uint64]forward
-	// reach says whether the cell may serve.
-	reach quorumReach
-	// credit bounds what goes by other gateways beside a connection that stands.
+	// availability tracks whether the cell can serve requests.
+	availability quorumAvailability
+	// credit limits relayed requests to replicas whose direct connection is up.
 	credit relayCredit
-	// answers estimates how long a replica takes to answer, whichever it is.
-	answers roundTrip
+	// roundTrips estimates the response time over all replicas of the cell.
+	roundTrips roundTripEstimator
 }
 
-// operation is a request that waits for replies.
+// operation is a request in progress with the replies received so far.
 type operation struct {
 	request ledger.Request
 	tally   *Tally
-	// chains holds the answers to a Chain, by disk.
+	// chains holds the replies to a Chain request, by disk.
 	chains map[string][]ledger.Turn
 	// changed is signalled after each reply.
 	changed chan struct{}
-	// votersOnly requests are of no use to other replicas; only names the one that a request
-	// is for, "" where it is for several.
-	votersOnly bool
-	only       string
-	// loan is the answer to a Borrow.
+	// votersOnly is set if the request is sent to voters only. onlyReplica names the single
+	// replica that the request is for; it is empty if the request is for several.
+	votersOnly  bool
+	onlyReplica string
+	// loan is the reply to a Borrow request.
 	loan *quota.Loan
-	// asked are the voters that it goes to at first; nil where it goes to all.
-	asked map[*replicaLink]bool
-	// historyAsked are the replicas that were asked for the history, the last one at the end.
-	historyAsked []*replicaLink
-	// historyLate counts those that were late.
-	historyLate int
-	// begunAt is when it was sent first; resent is set once it was sent again on the same
-	// connections, after which its answer tells nothing of the time that one takes.
-	begunAt time.Time
-	resent  bool
+	// initialVoters are the voters that the request is sent to first; nil means all.
+	initialVoters map[*replicaLink]bool
+	// historyReplicas are the replicas that were asked for the history, in order.
+	historyReplicas []*replicaLink
+	// historyTimeouts counts the replicas that did not return the history in time.
+	historyTimeouts int
+	// startedAt is when the request was first sent. resent is set once it was sent again: a reply
+	// can then belong to either attempt, so it gives no sample of the response time.
+	startedAt time.Time
+	resent    bool
 }
 
-// NewClient returns a client that knows no replicas yet.
+// NewClient returns a client without replicas. SetReplicas adds them.
 func NewClient(ctx context.Context, zone string, logger *log.Logger) *Client {
 	return &Client{context: ctx, zone: zone, log: logger, operations: map[uint64]*operation{}, forwards: map[uint64]forward{}}
 }
 
-// useRelays makes the client go through other gateways where its own connection is cut. It must be
-// called before the first request.
+// useRelays makes the client send requests through other gateways when its direct connection to a
+// replica is down or unresponsive. It must be called before the first request.
 func (c *Client) useRelays(relays *Relays, cell int) {
 	c.relays, c.cell = relays, cell
 }
 
-// SetReplicas replaces the replicas and the replica set by what the registry lists.
+// SetReplicas replaces the replicas by those that the registry lists, and applies the replica set
+// if it is newer.
 func (c *Client) SetReplicas(nodes []replicaset.Node, set replicaset.Set) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var kept []*replicaLink
+	var links []*replicaLink
 	for _, node := range nodes {
 		if node.Leaving {
 			continue
 		}
-		kept = append(kept, c.linkTo(node))
+		links = append(links, c.linkTo(node))
 	}
 	for _, old := range c.replicas {
-		if !slices.Contains(kept, old) {
+		if !slices.Contains(links, old) {
 			old.close()
 		}
 	}
-	slices.SortStableFunc(kept, func(a, b *replicaLink) int {
-		if near := cmp.Compare(c.distance(a), c.distance(b)); near != 0 {
-			return near
+	slices.SortStableFunc(links, func(a, b *replicaLink) int {
+		if byDistance := cmp.Compare(c.distance(a), c.distance(b)); byDistance != 0 {
+			return byDistance
 		}
 		return cmp.Compare(a.node.Name, b.node.Name)
 	})
-	c.replicas = kept
-	c.adopt(set)
+	c.replicas = links
+	c.adoptSet(set)
 }
 
 func (c *Client) distance(replica *replicaLink) place.Distance {
 	return c.places.Distance(replica.node.Zone, c.zone)
 }
 
-// linkTo returns the present link to the node, or a new one.
+// linkTo returns the existing link to the node, or a new one.
 func (c *Client) linkTo(node replicaset.Node) *replicaLink {
-	for _, present := range c.replicas {
-		if present.node.Name == node.Name && present.node.Address == node.Address {
-			present.node = node
-			return present
+	for _, existing := range c.replicas {
+		if existing.node.Name == node.Name && existing.node.Address == node.Address {
+			existing.node = node
+			return existing
 		}
 	}
-	fresh := &replicaLink{client: c, node: node, zone: node.Zone}
+	created := &replicaLink{client: c, node: node, zone: node.Zone}
 	if !c.onDemand {
-		fresh.open(time.Now())
+		created.open(time.Now())
 	}
-	return fresh
+	return created
 }
 
-// adopt applies a newer set, tells the replicas, and sends again what was
-// accepted under older ones only. The caller holds the lock.
-func (c *Client) adopt(set replicaset.Set) {
+// adoptSet applies a newer replica set, announces it to the replicas and resends all pending
+// operations, because replies under older epochs do not count. The caller holds the lock.
+func (c *Client) adoptSet(set replicaset.Set) {
 	if set.Epoch <= c.set.Epoch {
 		return
 	}
@@ -153,7 +155,7 @@
 	}
 	for _, pending := range c.operations {
 		pending.resent = true
-		pending.asked = nil
+		pending.initialVoters = nil
 		for _, replica := range c.replicas {
 			c.send(replica, pending)
 		}
@@ -161,15 +163,15 @@
 	}
 }
 
-// Epoch returns the epoch of the newest known replica set.
+// Epoch returns the epoch of the latest known replica set.
 func (c *Client) Epoch() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.set.Epoch
 }
 
-// Commit stores a finished turn with its final charge and waits until so many disks
-// hold it.
+// Commit stores a finished turn with its final charge and waits until at least copies disks hold it
+// durably. It returns ErrNoQuorum if the context ends first.
 func (c *Client) Commit(ctx context.Context, commit ledger.Commit, copies int) error {
 	pending := &operation{request: ledger.Request{Commit: &commit}}
 	number := c.begin(pending)
@@ -178,12 +180,12 @@
 		c.end(number)
 		return err
 	}
-	// The other replicas get it too; those out of reach catch up later.
+	// The commit was sent to all replicas; those that were unreachable catch up later.
 	c.end(number)
 	return nil
 }
 
-// Settle records a final charge without a caller that waits for it.
+// Settle records a final charge in the background. It retries for up to settleTimeout.
 func (c *Client) Settle(program string, charge ledger.Charge, retention time.Duration) {
 	pending := &operation{
 		request:    ledger.Request{Commit: &ledger.Commit{Program: program, Charge: charge, Retention: retention}},
@@ -191,52 +193,52 @@
 	}
 	number := c.begin(pending)
 	go func() {
-		ctx, cancel := context.WithTimeout(c.context, settleLimit)
+		ctx, cancel := context.WithTimeout(c.context, settleTimeout)
 		defer cancel()
-		_ = c.awaitWith(ctx, pending, settleRelayPause, func() bool { return pending.tally.Durable(c.set) })
+		_ = c.awaitWithRetryDelay(ctx, pending, maxSettleRetryDelay, func() bool { return pending.tally.Durable(c.set) })
 		c.end(number)
 	}()
 }
 
-// Chain returns a turn and all before it, newest first, or none when every replica
-// in reach lacks it or too little time is left. The nearest replica is asked first: a chain is
-// long, and may come from another region.
+// Chain returns a turn and all turns before it, newest first. It returns nil if no reachable
+// replica has the turn or the context ends first. Replicas are asked one at a time, the nearest
+// first, because a chain is large and may come from another region.
 func (c *Client) Chain(ctx context.Context, id string) []ledger.Turn {
 	pending := &operation{request: ledger.Request{Chain: &ledger.Chain{ID: id}}}
 	number := c.begin(pending)
 	defer c.end(number)
 	var found []ledger.Turn
-	stop := c.askWhileLate(pending)
+	stop := c.startHistoryTimeouts(pending)
 	defer stop()
 	_ = c.await(ctx, pending, func() bool {
 		answered := 0
 		for _, replica := range c.replicas {
-			turns, said := pending.chains[replica.node.Disk]
+			turns, replied := pending.chains[replica.node.Disk]
 			if len(turns) > 0 {
 				found = turns
 				return true
 			}
-			if said || !replica.up && !replica.opening(time.Now()) {
+			if replied || !replica.up && !replica.opening(time.Now()) {
 				answered++
 			}
 		}
-		c.askWhereMissing(pending)
+		c.askNextIfMissing(pending)
 		return answered == len(c.replicas)
 	})
 	return found
 }
 
-// await waits for a condition, which is checked under the lock after each reply.
-func (c *Client) await(ctx context.Context, pending *operation, met func() bool) error {
-	return c.awaitWith(ctx, pending, callerRelayPause, met)
+// await waits until a condition holds. It checks the condition under the lock after each reply.
+func (c *Client) await(ctx context.Context, pending *operation, condition func() bool) error {
+	return c.awaitWithRetryDelay(ctx, pending, maxCallerRetryDelay, condition)
 }
 
-func (c *Client) awaitWith(ctx context.Context, pending *operation, most time.Duration, met func() bool) error {
-	retry := c.newRelayRetry(most)
+func (c *Client) awaitWithRetryDelay(ctx context.Context, pending *operation, maxRetryDelay time.Duration, condition func() bool) error {
+	retry := c.newRetryTimer(maxRetryDelay)
 	defer retry.stop()
 	for {
 		c.mu.Lock()
-		done := met()
+		done := condition()
 		c.mu.Unlock()
 		if done {
 			return nil
@@ -245,7 +247,7 @@
 		case <-pending.changed:
 		case <-retry.due():
 			c.retry(pending)
-			retry.again()
+			retry.backOff()
 		case <-ctx.Done():
 			return ErrNoQuorum
 		}
@@ -258,18 +260,18 @@
 	pending.changed = make(chan struct{}, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.number++
-	pending.request.Number = c.number
-	pending.begunAt = time.Now()
-	c.operations[c.number] = pending
-	pending.asked = c.firstAsked(pending.begunAt, pending)
-	if nearest := c.nextForHistory(pending.begunAt, nil); nearest != nil && pending.readsTurns() {
-		pending.historyAsked = append(pending.historyAsked, nearest)
+	c.lastNumber++
+	pending.request.Number = c.lastNumber
+	pending.startedAt = time.Now()
+	c.operations[c.lastNumber] = pending
+	pending.initialVoters = c.initialVoters(pending.startedAt, pending)
+	if nearest := c.nextHistoryReplica(pending.startedAt, nil); nearest != nil && pending.readsHistory() {
+		pending.historyReplicas = append(pending.historyReplicas, nearest)
 	}
 	for _, replica := range c.replicas {
 		c.send(replica, pending)
 	}
-	return c.number
+	return c.lastNumber
 }
 
 func (c *Client) end(number uint64) {
@@ -278,47 +280,48 @@
 	c.mu.Unlock()
 }
 
-// send sends an operation to one replica, as far as it concerns it, and by another
-// gateway as well where it is not responsive. Replies may come twice.
+// send sends an operation to one replica if it applies to that replica. If the replica is not
+// responsive, the request also goes through a relay, so replies may arrive twice. The caller holds
+// the lock.
 func (c *Client) send(replica *replicaLink, pending *operation) {
-	request, concerned := c.requestTo(replica, pending)
-	if !concerned {
+	request, applies := c.requestFor(replica, pending)
+	if !applies {
 		return
 	}
 	now := time.Now()
-	replica.renewIfSilent(now)
+	replica.reconnectIfSilent(now)
 	if c.relays != nil && !c.responsive(now, replica) {
-		c.sendByRelay(replica, request)
+		c.sendViaRelay(replica, request)
 	}
 	replica.open(now)
 	if replica.send(request) {
 		replica.silence.RequestSent(now)
-		c.credit.sent()
+		c.credit.refill()
 	}
 }
 
-func (c *Client) sendByRelay(replica *replicaLink, request ledger.Request) {
+func (c *Client) sendViaRelay(replica *replicaLink, request ledger.Request) {
 	if replica.up && !c.credit.spend() {
 		return
 	}
-	c.relays.send(RelayRequest{Cell: c.cell, Replica: replica.node.Name, Request: request}, c.answers.timeout())
+	c.relays.send(RelayRequest{Cell: c.cell, Replica: replica.node.Name, Request: request}, c.roundTrips.timeout())
 }
 
-// requestTo returns what an operation asks of one replica, and false where that is
-// nothing.
-func (c *Client) requestTo(replica *replicaLink, pending *operation) (ledger.Request, bool) {
+// requestFor returns the request that an operation sends to one replica. It returns false if the
+// operation does not apply to the replica. The caller holds the lock.
+func (c *Client) requestFor(replica *replicaLink, pending *operation) (ledger.Request, bool) {
 	request := pending.request
 	request.Epoch = c.set.Epoch
-	voter := c.set.Has(replica.node.Disk) && (pending.asked == nil || pending.asked[replica])
-	if pending.only != "" {
-		return request, replica.node.Name == pending.only
+	voter := c.set.Has(replica.node.Disk) && (pending.initialVoters == nil || pending.initialVoters[replica])
+	if pending.onlyReplica != "" {
+		return request, replica.node.Name == pending.onlyReplica
 	}
 	if request.Chain != nil {
-		return request, slices.Contains(pending.historyAsked, replica)
+		return request, slices.Contains(pending.historyReplicas, replica)
 	}
 	if request.Reserve != nil {
 		reserve := *request.Reserve
-		if pending.tally.Found || !slices.Contains(pending.historyAsked, replica) {
+		if pending.tally.Found || !slices.Contains(pending.historyReplicas, replica) {
 			reserve.History = ""
 		}
 		if !voter {
--- a/internal/quorum/escrow.go
+++ b/internal/quorum/escrow.go
@@ -2,62 +2,65 @@
 
 import "swiftbank.dev/swiftbank/internal/ledger"
 
-// A program's budget is split evenly over the regions that have cells. Within its share a
-// region's cell grants turns alone, so that on most turns nothing waits for another region.
-// Beyond it a turn is reserved in the program's cell of every region, and granted by the
-// union of what all of them hold. docs/design/regions.md has the proof that the turns
-// granted never exceed the budget together.
+// A program's budget is split evenly over the regions that have cells. Within its share, a region's
+// cell grants turns alone, so that most turns do not wait for another region. Beyond the share, a
+// turn is reserved in the program's cell of every region and granted by the union of the charges in
+// all of them. docs/design/regions.md proves that the granted turns never exceed the budget in
+// total.
 
-// EscrowDecision is the escrow's decision on a turn.
+// EscrowDecision is the decision of an Escrow on a turn.
 type EscrowDecision uint8
 
-// The grants.
+// The decisions.
 const (
-	// Granted: the turn may run.
+	// Granted means that the turn may run.
 	Granted EscrowDecision = iota
-	// AskEveryRegion: the own region's share does not suffice.
+	// AskEveryRegion means that the own region's share is too small and the turn must be reserved
+	// in every region.
 	AskEveryRegion
-	// Exhausted: the budget holds no further turn.
+	// Exhausted means that the remaining budget is too small for the turn.
 	Exhausted
 )
 
 // String returns the name used in logs and metrics.
-func (g EscrowDecision) String() string {
-	return [...]string{"granted", "ask_every_region", "exhausted"}[g]
+func (d EscrowDecision) String() string {
+	return [...]string{"granted", "ask_every_region", "exhausted"}[d]
 }
 
-// Escrow decides on one turn of a program.
+// Escrow decides whether a turn fits into its program's budget.
 type Escrow struct {
-	// Budget is the program's budget, MaxTurnTokens the most that the turn may use of it, in tokens.
+	// Budget is the program's budget and MaxTurnTokens the most that the turn may use of it, in
+	// tokens.
 	Budget, MaxTurnTokens int64
-	// Regions is how many regions have cells.
+	// Regions is the number of regions that have cells.
 	Regions int
 }
 
-// DecideInOwnRegion decides by the charges of the program's other turns in the own region's cell,
-// read after the turn was reserved there.
-func (e Escrow) DecideInOwnRegion(others int64) EscrowDecision {
+// DecideInOwnRegion decides by the tokens charged to the program's other turns in the own region's
+// cell. They must be read after the turn was reserved there.
+func (e Escrow) DecideInOwnRegion(otherTokens int64) EscrowDecision {
 	switch {
-	case others+e.MaxTurnTokens > e.Budget:
+	case otherTokens+e.MaxTurnTokens > e.Budget:
 		return Exhausted
-	case others+e.MaxTurnTokens <= e.Budget/int64(max(1, e.Regions)):
+	case otherTokens+e.MaxTurnTokens <= e.Budget/int64(max(1, e.Regions)):
 		return Granted
 	default:
 		return AskEveryRegion
 	}
 }
 
-// DecideInAllRegions decides by the union of the charges in the program's cells of all regions,
-// read after the turn was reserved in each.
-func (e Escrow) DecideInAllRegions(others int64) EscrowDecision {
-	if others+e.MaxTurnTokens > e.Budget {
+// DecideInAllRegions decides by the tokens charged to the program's other turns in the union of its
+// cells in all regions. They must be read after the turn was reserved in each cell.
+func (e Escrow) DecideInAllRegions(otherTokens int64) EscrowDecision {
+	if otherTokens+e.MaxTurnTokens > e.Budget {
 		return Exhausted
 	}
 	return Granted
 }
 
-// unionOthers returns the tokens charged by all turns but one, each turn once.
-func unionOthers(turn string, cells ...map[string]ledger.Charge) int64 {
+// unionOtherTokens returns the tokens charged to all turns except one over several cells, counting
+// each turn once.
+func unionOtherTokens(turn string, cells ...map[string]ledger.Charge) int64 {
 	union := map[string]ledger.Charge{}
 	for _, charges := range cells {
 		for _, charge := range charges {
@@ -66,10 +69,10 @@
 			}
 		}
 	}
-	return sumOthers(turn, union)
+	return sumOtherTokens(turn, union)
 }
 
-func sumOthers(turn string, charges map[string]ledger.Charge) int64 {
+func sumOtherTokens(turn string, charges map[string]ledger.Charge) int64 {
 	var sum int64
 	for _, charge := range charges {
 		if charge.Turn != turn {
--- a/internal/quorum/forward.go
+++ b/internal/quorum/forward.go
@@ -9,26 +9,27 @@
 	"swiftbank.dev/swiftbank/internal/peer"
 )
 
-// forward is a request of another gateway that was passed on to a replica.
+// forward is a request forwarded to a replica for another gateway.
 type forward struct {
 	from *peer.Connection[RelayReply]
-	// number is the request's number at the other gateway.
+	// number is the request's number at the requesting gateway.
 	number  uint64
 	cell    int
 	expires time.Time
 }
 
 const (
-	// forwardLife is how long a replica's replies are passed back.
-	forwardLife = 3 * time.Second
-	// forwardsMost bounds the requests of other gateways under way.
-	forwardsMost = 8192
-	// forwardsWaiting bounds the requests of other gateways that wait for one connection to
-	// open, which takes a round trip: more than come in that time.
-	forwardsWaiting = 256
+	// forwardTTL is how long a replica's replies are returned to the requesting gateway.
+	forwardTTL = 3 * time.Second
+	// maxForwards bounds the forwarded requests in progress.
+	maxForwards = 8192
+	// maxQueuedForwards bounds the forwarded requests that wait for one connection to open. It is
+	// more than arrive in the round trip that opening takes.
+	maxQueuedForwards = 256
 )
 
-// ServeRelays passes the requests of other gateways on until the context ends.
+// ServeRelays listens on the address and forwards the requests of other gateways until the context
+// ends.
 func (c *Cells) ServeRelays(ctx context.Context, address string) error {
 	listener, err := peer.Listen(ctx, address)
 	if err != nil {
@@ -42,8 +43,9 @@
 	return nil
 }
 
-// Forward passes a request of another gateway on to a replica of the cell, if the
-// direct connection there is responsive. Requests that were relayed once are not relayed again.
+// Forward forwards a request of another gateway to a replica if the direct connection to it is
+// responsive; otherwise it replies that the replica is unreachable. A relayed request is never
+// relayed again.
 func (c *Cells) Forward(from *peer.Connection[RelayReply], request RelayRequest) {
 	c.mu.RLock()
 	var client *Client
@@ -59,7 +61,7 @@
 	})
 }
 
-// forward reports whether the request was passed on.
+// forward forwards a request to a replica and reports whether it did.
 func (c *Client) forward(from *peer.Connection[RelayReply], request RelayRequest) bool {
 	now := time.Now()
 	c.mu.Lock()
@@ -69,46 +71,46 @@
 			continue
 		}
 		replica.open(now)
-		if !c.responsive(now, replica) || !c.roomToForward(now) {
+		if !c.responsive(now, replica) || !c.hasForwardCapacity(now) {
 			return false
 		}
-		c.number++
-		c.forwards[c.number] = forward{from: from, number: request.Request.Number, cell: request.Cell, expires: now.Add(forwardLife)}
-		passed := request.Request
-		passed.Number = c.number
+		c.lastNumber++
+		c.forwards[c.lastNumber] = forward{from: from, number: request.Request.Number, cell: request.Cell, expires: now.Add(forwardTTL)}
+		forwarded := request.Request
+		forwarded.Number = c.lastNumber
 		if !replica.up {
-			return replica.forwardOnceUp(passed)
+			return replica.queueForward(forwarded)
 		}
 		replica.silence.RequestSent(now)
-		return replica.send(passed)
+		return replica.send(forwarded)
 	}
 	return false
 }
 
-// forwardOnceUp keeps a request until the connection that is being opened stands. It reports
-// false if too many wait. The client's lock is held.
-func (r *replicaLink) forwardOnceUp(passed ledger.Request) bool {
-	if len(r.forwards) >= forwardsWaiting {
+// queueForward queues a request until the connection that is being opened is up. It returns false
+// if the queue is full. The client's lock is held.
+func (r *replicaLink) queueForward(request ledger.Request) bool {
+	if len(r.queuedForwards) >= maxQueuedForwards {
 		return false
 	}
-	r.forwards = append(r.forwards, passed)
+	r.queuedForwards = append(r.queuedForwards, request)
 	return true
 }
 
-// sendForwards sends what waited for the connection and may still be answered. The client's
-// lock is held.
-func (r *replicaLink) sendForwards(now time.Time) {
-	for _, passed := range r.forwards {
-		if now.Before(r.client.forwards[passed.Number].expires) {
-			r.send(passed)
+// sendQueuedForwards sends the queued requests that have not expired. The client's lock is held.
+func (r *replicaLink) sendQueuedForwards(now time.Time) {
+	for _, request := range r.queuedForwards {
+		if now.Before(r.client.forwards[request.Number].expires) {
+			r.send(request)
 		}
 	}
-	r.forwards = nil
+	r.queuedForwards = nil
 }
 
-// roomToForward drops expired entries once the table is full.
-func (c *Client) roomToForward(now time.Time) bool {
-	if len(c.forwards) < forwardsMost {
+// hasForwardCapacity reports whether another request can be forwarded. It removes expired entries
+// when the table is full.
+func (c *Client) hasForwardCapacity(now time.Time) bool {
+	if len(c.forwards) < maxForwards {
 		return true
 	}
 	for number, entry := range c.forwards {
@@ -116,18 +118,18 @@
 			delete(c.forwards, number)
 		}
 	}
-	return len(c.forwards) < forwardsMost
+	return len(c.forwards) < maxForwards
 }
 
-// passBack hands a reply to the gateway that asked, and reports whether there is one.
-// The caller holds the lock.
-func (c *Client) passBack(replica *replicaLink, reply ledger.Reply) bool {
-	entry, relayed := c.forwards[reply.Number]
-	if !relayed {
+// returnForwardedReply sends the reply to the requesting gateway if it answers a forwarded request,
+// and reports whether it does. The caller holds the lock.
+func (c *Client) returnForwardedReply(replica *replicaLink, reply ledger.Reply) bool {
+	entry, found := c.forwards[reply.Number]
+	if !found {
 		return false
 	}
 	if reply.Reserve == nil {
-		delete(c.forwards, reply.Number) // the last reply to any request
+		delete(c.forwards, reply.Number) // only a Reserve reply is followed by another one
 	}
 	reply.Number = entry.number
 	entry.from.Send(RelayReply{Cell: entry.cell, Replica: replica.node.Name, Reply: reply})
--- a/internal/quorum/history.go
+++ b/internal/quorum/history.go
@@ -6,111 +6,113 @@
 	"time"
 )
 
-// A history is as large as all turns before it, and a reservation is small. So only one replica
-// is asked for the text at first, and one more each time one lacks it or is late. Asking all at
-// once would, for one slow or empty replica, fill the link between regions; every replica
-// behind it would be late then, and further readers would ask all as well.
+// A history is as large as all turns before it, while a reservation is small. Therefore only one
+// replica is asked for the text at first, and one more each time a replica lacks it or is late.
+// Asking all replicas because one is slow or lacks the text would saturate the link between
+// regions. Every replica behind that link would then be late, and further readers would ask all of
+// them too.
 
-// nextForHistory returns the replica that is asked for a history next: of those not asked yet
-// the responsive ones come first, and of these the nearest. The caller holds the lock.
-func (c *Client) nextForHistory(now time.Time, asked []*replicaLink) *replicaLink {
+// nextHistoryReplica returns the replica to ask for a history next, or nil if there is none. It
+// skips excluded replicas and prefers responsive ones, then the nearest. The caller holds the lock.
+func (c *Client) nextHistoryReplica(now time.Time, excluded []*replicaLink) *replicaLink {
 	var best *replicaLink
 	for _, replica := range c.replicas {
-		if slices.Contains(asked, replica) || c.relays == nil && !replica.up && !replica.opening(now) {
+		if slices.Contains(excluded, replica) || c.relays == nil && !replica.up && !replica.opening(now) {
 			continue
 		}
-		if best == nil || c.compareForHistory(now, replica, best) < 0 {
+		if best == nil || c.compareHistoryReplicas(now, replica, best) < 0 {
 			best = replica
 		}
 	}
 	return best
 }
 
-// compareForHistory orders replicas by whether they answer, by zone, and by the time that their
-// answers take.
-func (c *Client) compareForHistory(now time.Time, a, b *replicaLink) int {
+// compareHistoryReplicas orders replicas by responsiveness, distance and mean response time. The
+// caller holds the lock.
+func (c *Client) compareHistoryReplicas(now time.Time, a, b *replicaLink) int {
 	if responds := c.responsive(now, a); responds != c.responsive(now, b) {
 		if responds {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(c.distance(a), c.distance(b)), cmp.Compare(a.answers.mean, b.answers.mean))
+	return cmp.Or(cmp.Compare(c.distance(a), c.distance(b)), cmp.Compare(a.roundTrips.mean, b.roundTrips.mean))
 }
 
-// historyTimeout is how long the replica asked last may take to hand over a history before one
-// more is asked. It doubles with each one that is late: several late answers usually wait for
-// the same full link, and one more text adds to that.
+// historyTimeout returns how long the last asked replica may take to return a history before
+// another one is asked. It doubles with each late replica, because several late replies usually
+// wait for the same saturated link, and one more text adds to its load.
 func (c *Client) historyTimeout(pending *operation) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(pending.historyAsked) == 0 {
-		return timeoutUnknown
+	if len(pending.historyReplicas) == 0 {
+		return initialTimeout
 	}
-	last := pending.historyAsked[len(pending.historyAsked)-1]
-	return c.timeoutOf(last)<<pending.historyLate + last.connectAllowance(time.Now())
+	last := pending.historyReplicas[len(pending.historyReplicas)-1]
+	return c.timeoutOf(last)<<pending.historyTimeouts + last.connectAllowance(time.Now())
 }
 
-// readsTurns reports whether the operation asks for the text of turns.
-func (o *operation) readsTurns() bool {
+// readsHistory reports whether the operation requests the text of turns.
+func (o *operation) readsHistory() bool {
 	reserve := o.request.Reserve
 	return o.request.Chain != nil || reserve != nil && reserve.History != ""
 }
 
-// lacks reports whether a disk said that it does not have the turns asked for.
-func (o *operation) lacks(disk string) bool {
-	turns, said := o.chains[disk]
-	return o.tally.missing[disk] || said && len(turns) == 0
+// reportedMissing reports whether a disk replied that it lacks the requested turns.
+func (o *operation) reportedMissing(disk string) bool {
+	turns, replied := o.chains[disk]
+	return o.tally.missing[disk] || replied && len(turns) == 0
 }
 
-// askOneMore asks the next replica for the history: the one asked last is late.
-func (c *Client) askOneMore(pending *operation) {
+// handleHistoryTimeout asks the next replica for the history because the last asked one is late.
+func (c *Client) handleHistoryTimeout(pending *operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	pending.historyLate++
-	c.askNext(pending)
+	pending.historyTimeouts++
+	c.askNextForHistory(pending)
 }
 
-// askWhileLate asks one more replica each time that the one asked last is late, until it is
-// stopped.
-func (c *Client) askWhileLate(pending *operation) (stop func()) {
+// startHistoryTimeouts asks another replica in the background each time the last asked one is late,
+// until stop is called.
+func (c *Client) startHistoryTimeouts(pending *operation) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		for {
-			late := time.NewTimer(c.historyTimeout(pending))
+			timer := time.NewTimer(c.historyTimeout(pending))
 			select {
 			case <-done:
-				late.Stop()
+				timer.Stop()
 				return
-			case <-late.C:
-				c.askOneMore(pending)
+			case <-timer.C:
+				c.handleHistoryTimeout(pending)
 			}
 		}
 	}()
 	return func() { close(done) }
 }
 
-// askWhereMissing asks the next replica once all that were asked lack the history. The caller
+// askNextIfMissing asks the next replica if all replicas asked so far lack the history. The caller
 // holds the lock.
-func (c *Client) askWhereMissing(pending *operation) {
-	for _, replica := range pending.historyAsked {
-		if !pending.lacks(replica.node.Disk) {
+func (c *Client) askNextIfMissing(pending *operation) {
+	for _, replica := range pending.historyReplicas {
+		if !pending.reportedMissing(replica.node.Disk) {
 			return
 		}
 	}
-	c.askNext(pending)
+	c.askNextForHistory(pending)
 }
 
-// askNext asks one more replica for the history. The caller holds the lock.
-func (c *Client) askNext(pending *operation) {
-	if !pending.readsTurns() || pending.tally.Found {
+// askNextForHistory asks one more replica for the history, unless it was already found or no
+// replica is left. The caller holds the lock.
+func (c *Client) askNextForHistory(pending *operation) {
+	if !pending.readsHistory() || pending.tally.Found {
 		return
 	}
-	next := c.nextForHistory(time.Now(), pending.historyAsked)
+	next := c.nextHistoryReplica(time.Now(), pending.historyReplicas)
 	if next == nil {
 		return
 	}
-	pending.historyAsked = append(pending.historyAsked, next)
+	pending.historyReplicas = append(pending.historyReplicas, next)
 	pending.resent = true
 	c.send(next, pending)
 }
--- a/internal/quorum/initialvoters.go
+++ b/internal/quorum/initialvoters.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// A reservation needs a quorum, not all voters. It goes to the nearest quorum first, and to the
-// other voters only when an answer is overdue, a connection ends or the set changes. What a
-// quorum holds is enough while the set stays: every later quorum shares a voter with it. What
-// outlives the turn, its settled charge, goes to all voters: two voters that leave the set one
-// after the other may be two of the three that hold what went to one quorum of five.
-// With ten voters in three zones four reservations in ten are not sent, most of them between
-// zones.
+// A reservation needs a quorum, not all voters. It is sent to the nearest quorum first, and to the
+// other voters only when a reply is overdue, a connection ends or the set changes. A quorum is
+// sufficient while the set does not change, because every later quorum shares a voter with it. The
+// settled charge outlives the turn, so it is sent to all voters: with five voters, two that leave
+// the set one after the other may be two of the three that hold it. With ten voters in three zones,
+// four of ten reservation messages are saved, most of them between zones.
 
-// firstAsked returns the voters that an operation goes to at first, or nil where it goes to
-// all. The caller holds the lock.
-func (c *Client) firstAsked(now time.Time, pending *operation) map[*replicaLink]bool {
+// initialVoters returns the voters that an operation is sent to first. It returns nil if the
+// operation must go to all voters. The caller holds the lock.
+func (c *Client) initialVoters(now time.Time, pending *operation) map[*replicaLink]bool {
 	if pending.request.Reserve == nil {
 		return nil
 	}
-	asked := map[*replicaLink]bool{}
+	initial := map[*replicaLink]bool{}
 	voters := 0
 	for _, replica := range c.nearestFirst() {
 		if voters == c.set.Quorum() {
 			break
 		}
 		if c.set.Has(replica.node.Disk) && c.responsive(now, replica) {
-			asked[replica] = true
+			initial[replica] = true
 			voters++
 		}
 	}
 	if len(c.set.Voters) == 0 || voters < c.set.Quorum() {
 		return nil
 	}
-	return asked
+	return initial
 }
 
-// nearestFirst returns the replicas by distance; equally near ones are rotated from operation
-// to operation, so that all share the work. The caller holds the lock.
+// nearestFirst returns the replicas ordered by distance. Replicas at the same distance are rotated
+// for each operation, so that they share the load. The caller holds the lock.
 func (c *Client) nearestFirst() []*replicaLink {
 	ordered := make([]*replicaLink, 0, len(c.replicas))
 	for first := 0; first < len(c.replicas); {
@@ -43,7 +42,7 @@
 			next++
 		}
 		group := c.replicas[first:next]
-		begin := int(c.number % uint64(len(group)))
+		begin := int(c.lastNumber % uint64(len(group)))
 		ordered = append(ordered, group[begin:]...)
 		ordered = append(ordered, group[:begin]...)
 		first = next
@@ -51,36 +50,36 @@
 	return ordered
 }
 
-// widen sends an operation to the voters that it did not go to at first. The caller holds the
-// lock.
-func (c *Client) widen(pending *operation) {
-	if pending.asked == nil {
+// widenFanOut sends an operation to the voters that it was not sent to initially. The caller holds
+// the lock.
+func (c *Client) widenFanOut(pending *operation) {
+	if pending.initialVoters == nil {
 		return
 	}
-	asked := pending.asked
-	pending.asked = nil
+	initial := pending.initialVoters
+	pending.initialVoters = nil
 	for _, replica := range c.replicas {
-		if !asked[replica] {
+		if !initial[replica] {
 			c.send(replica, pending)
 		}
 	}
 }
 
-// widenAll widens the operations that wait for a replica whose connection ended. The caller holds the
-// lock.
-func (c *Client) widenAll(lost *replicaLink) {
+// widenFanOutAfterLoss sends the operations that wait for a disconnected replica to the other
+// voters. The caller holds the lock.
+func (c *Client) widenFanOutAfterLoss(lost *replicaLink) {
 	for _, pending := range c.operations {
-		if pending.asked[lost] {
-			c.widen(pending)
+		if pending.initialVoters[lost] {
+			c.widenFanOut(pending)
 		}
 	}
 }
 
-// askFor sends an operation to all voters if it needs more copies than a quorum holds.
-func (c *Client) askFor(pending *operation, copies int) {
+// ensureFanOut sends an operation to all voters if it needs more copies than a quorum provides.
+func (c *Client) ensureFanOut(pending *operation, copies int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if copies > c.set.Quorum() {
-		c.widen(pending)
+		c.widenFanOut(pending)
 	}
 }
--- a/internal/quorum/initialvoters_test.go
+++ b/internal/quorum/initialvoters_test.go
@@ -10,8 +10,8 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// holders returns how many replicas hold charges of the program.
-func holders(program string, replicas []*standReplica) int {
+// countHolders returns the number of replicas that hold charges of the program.
+func countHolders(program string, replicas []*fakeReplica) int {
 	count := 0
 	for _, replica := range replicas {
 		if len(replica.charges(program)) > 0 {
@@ -21,9 +21,9 @@
 	return count
 }
 
-func startCell(t *testing.T, names ...string) (*Client, []*standReplica) {
-	client := NewClient(t.Context(), names[0], quiet())
-	var replicas []*standReplica
+func startCell(t *testing.T, names ...string) (*Client, []*fakeReplica) {
+	client := NewClient(t.Context(), names[0], discardLogger())
+	var replicas []*fakeReplica
 	var nodes []replicaset.Node
 	set := replicaset.Set{Epoch: 1}
 	for _, name := range names {
@@ -47,32 +47,32 @@
 	return client, replicas
 }
 
-func TestAReservationGoesToTheNearestQuorumOnly(t *testing.T) {
+func TestReservationGoesToNearestQuorum(t *testing.T) {
 	client, replicas := startCell(t, "a", "b", "c", "d", "e")
 	for _, turn := range []string{"t1", "t2", "t3"} {
 		reservation, err := client.Reserve(t.Context(), ledger.Reserve{Program: turn, Charge: ledger.Charge{Turn: turn, Tokens: 5}})
 		require.NoError(t, err)
 		require.NoError(t, reservation.Durable(t.Context(), 1))
 		reservation.StopRetrying()
-		require.Equal(t, 3, holders(turn, replicas))
-		require.NotEmpty(t, replicas[0].charges(turn), "the own zone is among them")
+		require.Equal(t, 3, countHolders(turn, replicas))
+		require.NotEmpty(t, replicas[0].charges(turn), "the replica in the own zone must be among them")
 	}
 }
 
-func TestAVoterThatIsLostIsReplacedByOthers(t *testing.T) {
+func TestUnresponsiveVoterIsReplaced(t *testing.T) {
 	client, replicas := startCell(t, "a", "b", "c", "d", "e")
-	replicas[0].mu.Lock() // it stands still with the request in hand
+	replicas[0].mu.Lock() // the replica hangs while it processes the request
 	defer replicas[0].mu.Unlock()
 	reservation, err := client.Reserve(t.Context(), ledger.Reserve{Program: "p", Charge: ledger.Charge{Turn: "t", Tokens: 5}})
 	require.NoError(t, err)
 	defer reservation.StopRetrying()
 	require.NoError(t, reservation.Durable(t.Context(), 1))
-	require.Equal(t, 4, holders("p", replicas[1:]), "all others were asked")
+	require.Equal(t, 4, countHolders("p", replicas[1:]), "all other replicas must hold the charge")
 }
 
-func TestALaterReservationSeesAChargeOfAnotherQuorum(t *testing.T) {
+func TestReservationSeesChargesOfOtherQuorums(t *testing.T) {
 	near, replicas := startCell(t, "a", "b", "c", "d", "e")
-	far := NewClient(t.Context(), "e", quiet())
+	far := NewClient(t.Context(), "e", discardLogger())
 	near.mu.Lock()
 	set := near.set
 	near.mu.Unlock()
--- a/internal/quorum/link.go
+++ b/internal/quorum/link.go
@@ -14,37 +14,37 @@
 type replicaLink struct {
 	client *Client
 	node   replicaset.Node
-	// zone is the node's, and never changes: it is read without the lock.
+	// zone is the node's zone. It never changes, so it is read without the lock.
 	zone string
 	link *peer.Link[ledger.Request, ledger.Reply]
 	up   bool
-	// silence is how long no reply has followed a request.
+	// silence measures how long requests have been without a reply.
 	silence peer.SilenceDetector
-	// answers estimates how long this replica takes to answer.
-	answers roundTrip
-	// relaying is set while requests go by another gateway.
+	// roundTrips estimates the response time of this replica.
+	roundTrips roundTripEstimator
+	// relaying is set while requests are also sent through a relay.
 	relaying bool
-	// relayedAt is when an answer last came by another gateway.
-	relayedAt time.Time
-	// forwards are requests of other gateways that wait for the connection.
-	forwards []ledger.Request
-	// openedAt is when the connection was last asked for, usedAt when a request last was.
+	// lastRelayReplyAt is when a reply last arrived through a relay.
+	lastRelayReplyAt time.Time
+	// queuedForwards are forwarded requests that wait for the connection.
+	queuedForwards []ledger.Request
+	// openedAt is when the connection was last requested, usedAt when a request last needed it.
 	openedAt, usedAt time.Time
-	// idle closes a connection on demand.
-	idle *time.Timer
+	// idleTimer closes an idle on-demand connection; it is nil for other connections.
+	idleTimer *time.Timer
 }
 
 const (
 	// connectAllowance is how long a new connection to a replica may take before the replica
-	// counts as out of reach: two round trips between distant regions.
+	// counts as unreachable. It covers two round trips between distant regions.
 	connectAllowance = 150 * time.Millisecond
-	// onDemandIdle is how long a connection on demand stays without use: the turns of one
-	// program come within it, and opening costs a round trip.
-	onDemandIdle = 10 * time.Second
+	// onDemandIdleTimeout is how long an unused on-demand connection stays open. Successive turns
+	// of a program arrive within it; opening a connection costs a round trip.
+	onDemandIdleTimeout = 10 * time.Second
 )
 
-// ConnectAllowance is how much longer the answer of a replica may take because a connection is
-// opened for the request: zero where it stands or has had its time.
+// ConnectAllowance returns how much longer the named replica may take to reply because a connection
+// is being opened. It is zero if the connection is up or the time to open it is over.
 func (c *Client) ConnectAllowance(name string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// open asks for the connection if there is none. The client's lock is held, as for all
-// methods here but those of peer.Handler.
+// open starts the connection if there is none. The caller holds the client's lock, as for all
+// methods of replicaLink except closeIdle, Sent and those of peer.Handler.
 func (r *replicaLink) open(now time.Time) {
 	r.usedAt = now
 	if r.link != nil {
@@ -73,22 +73,23 @@
 	r.openedAt = now
 	r.link = peer.NewLink[ledger.Request, ledger.Reply](r.client.context, r.node.Address, r)
 	if r.client.onDemand {
-		r.idle = time.AfterFunc(onDemandIdle, r.closeIdle)
+		r.idleTimer = time.AfterFunc(onDemandIdleTimeout, r.closeIdle)
 	}
 }
 
-// opening reports whether the replica may yet be reached: it was not tried, or just now.
+// opening reports whether the replica may still become reachable: its on-demand connection was not
+// tried yet, or was started less than connectAllowance ago.
 func (r *replicaLink) opening(now time.Time) bool {
 	return r.client.onDemand && !r.up && (r.link == nil || now.Sub(r.openedAt) <= connectAllowance)
 }
 
-// send reports whether the message was queued on a connection.
+// send queues a request and reports whether there was a connection with space for it.
 func (r *replicaLink) send(request ledger.Request) bool {
 	return r.link != nil && r.link.Send(request)
 }
 
-// closeIdle closes a connection on demand that was not used for a while. Another link takes
-// this one's place, for this one may yet hear of its connection's end.
+// closeIdle closes an on-demand connection that was not used for onDemandIdleTimeout. It replaces
+// the replicaLink by a new one, because the old one may still receive the end of its connection.
 func (r *replicaLink) closeIdle() {
 	c := r.client
 	c.mu.Lock()
@@ -97,22 +98,22 @@
 	if index < 0 {
 		return
 	}
-	rest := time.Until(r.usedAt.Add(onDemandIdle))
-	if len(c.operations) > 0 { // a replica without a connection is not asked again
-		rest = onDemandIdle
+	remaining := time.Until(r.usedAt.Add(onDemandIdleTimeout))
+	if len(c.operations) > 0 { // operations are not retried on a replica without a connection
+		remaining = onDemandIdleTimeout
 	}
-	if rest > 0 {
-		r.idle.Reset(rest)
+	if remaining > 0 {
+		r.idleTimer.Reset(remaining)
 		return
 	}
 	r.close()
 	c.replicas[index] = &replicaLink{client: c, node: r.node, zone: r.zone}
 }
 
-// close ends the connection for good.
+// close closes the connection permanently.
 func (r *replicaLink) close() {
-	if r.idle != nil {
-		r.idle.Stop()
+	if r.idleTimer != nil {
+		r.idleTimer.Stop()
 	}
 	if r.link != nil {
 		r.link.CloseAsync()
@@ -124,9 +125,9 @@
 	r.client.traffic.SentToZone(request.Kind(), r.zone, bytes)
 }
 
-// renewIfSilent replaces a connection on which nothing was answered for long. The client's lock
-// is held.
-func (r *replicaLink) renewIfSilent(now time.Time) {
+// reconnectIfSilent replaces a connection on which the replica has not replied for
+// peer.AnswerTimeout. The client's lock is held.
+func (r *replicaLink) reconnectIfSilent(now time.Time) {
 	if !r.up || !r.silence.TimedOut(now) {
 		return
 	}
@@ -135,7 +136,7 @@
 	r.link.Reconnect()
 }
 
-// LinkUp implements peer.Handler: it repeats what this replica has not answered.
+// LinkUp implements peer.Handler. It resends the pending operations to the replica.
 func (r *replicaLink) LinkUp() {
 	c := r.client
 	c.mu.Lock()
@@ -151,7 +152,7 @@
 		c.send(r, pending)
 		pending.signal()
 	}
-	r.sendForwards(time.Now())
+	r.sendQueuedForwards(time.Now())
 }
 
 // LinkDown implements peer.Handler.
@@ -161,7 +162,7 @@
 	defer c.mu.Unlock()
 	r.up = false
 	c.log.Warn().Str("event", "dependency_lost").Str("dependency", "replica").Str("peer", r.node.Name).AnErr("error", err).Msg("")
-	c.widenAll(r)
+	c.widenFanOutAfterLoss(r)
 	for _, pending := range c.operations {
 		pending.signal()
 	}
@@ -177,24 +178,24 @@
 		r.relaying = false
 		c.log.Info().Str("event", "relay_retry_ended").Str("peer", r.node.Name).Msg("")
 	}
-	if c.passBack(r, reply) {
+	if c.returnForwardedReply(r, reply) {
 		return
 	}
-	// What was relayed as well is measured too: this answer came on the direct connection.
+	// Operations that were also relayed count as samples, because this reply arrived on the direct
+	// connection.
 	if pending := c.operations[reply.Number]; pending != nil && reply.Reserve != nil && !pending.resent {
-		took := time.Since(pending.begunAt)
-		c.answers.observe(took)
-		r.answers.observe(took)
+		latency := time.Since(pending.startedAt)
+		c.roundTrips.observe(latency)
+		r.roundTrips.observe(latency)
 	}
-	c.receive(r, reply)
+	c.applyReply(r, reply)
 }
 
-// receive applies a reply that came directly or by another gateway. The caller holds
-// the lock.
-func (c *Client) receive(r *replicaLink, reply ledger.Reply) {
+// applyReply applies a reply that arrived directly or through a relay. The caller holds the lock.
+func (c *Client) applyReply(r *replicaLink, reply ledger.Reply) {
 	r.node.Disk = reply.Disk
 	if reply.Stale != nil {
-		c.adopt(*reply.Stale)
+		c.adoptSet(*reply.Stale)
 		return
 	}
 	pending := c.operations[reply.Number]
--- a/internal/quorum/lostdisks_test.go
+++ b/internal/quorum/lostdisks_test.go
@@ -11,17 +11,18 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// restoring is a cell of which two disks are lost at once, with a charge that a quorum had.
-type restoring struct {
+// recoveringCell is a cell that lost two disks at once after a quorum had accepted a charge.
+type recoveringCell struct {
 	random *rand.Rand
 	set    replicaset.Set
 	states map[string]*ledger.State
-	// heard holds, for each new disk, the epochs that others confirmed to it.
-	heard map[string]map[string]uint64
+	// confirmedEpochs maps each node with a new disk to the epochs that the voters confirmed to it,
+	// by disk.
+	confirmedEpochs map[string]map[string]uint64
 }
 
-func newRestoring(seed uint64) *restoring {
-	r := &restoring{random: rand.New(rand.NewPCG(seed, 3)), states: map[string]*ledger.State{}, heard: map[string]map[string]uint64{}}
+func newRecoveringCell(seed uint64) *recoveringCell {
+	r := &recoveringCell{random: rand.New(rand.NewPCG(seed, 3)), states: map[string]*ledger.State{}, confirmedEpochs: map[string]map[string]uint64{}}
 	names := []string{"a", "b", "c", "d"}
 	r.set.Epoch = 1
 	for _, name := range names {
@@ -29,26 +30,27 @@
 		r.set.Voters = append(r.set.Voters, replicaset.Voter{Node: name, Disk: "disk-" + name})
 	}
 	acceptedBy := r.random.Perm(len(names))[:r.set.Quorum()]
-	for _, place := range acceptedBy {
-		charge := ledger.Charge{Turn: "accepted", Tokens: modelMost}
-		r.states[names[place]].Step(time.Unix(1000, 0), ledger.Request{Epoch: 1, Reserve: &ledger.Reserve{Program: programName, Charge: charge}})
+	for _, index := range acceptedBy {
+		charge := ledger.Charge{Turn: "accepted", Tokens: modelTurnTokens}
+		r.states[names[index]].Step(time.Unix(1000, 0), ledger.Request{Epoch: 1, Reserve: &ledger.Reserve{Program: programName, Charge: charge}})
 	}
-	for _, place := range r.random.Perm(len(names))[:2] {
-		r.states[names[place]] = ledger.NewState("new-"+names[place], "new")
-		r.heard[names[place]] = map[string]uint64{}
+	for _, index := range r.random.Perm(len(names))[:2] {
+		r.states[names[index]] = ledger.NewState("new-"+names[index], "new")
+		r.confirmedEpochs[names[index]] = map[string]uint64{}
 	}
 	return r
 }
 
-// step lets one new disk take its next step, after one voter more has answered it.
-func (r *restoring) step(name string) {
+// step plans and applies the next membership change of a new disk. If the plan is to wait, it
+// queries one more voter.
+func (r *recoveringCell) step(name string) {
 	own := replicaset.Voter{Node: name, Disk: r.states[name].Disk()}
 	view := replicaset.View{Own: own, Set: r.set, Tolerate: 2, Disks: map[string]string{}, Adopted: map[string]bool{}}
 	for node, state := range r.states {
 		view.Disks[node] = state.Disk()
 	}
 	for _, voter := range r.set.Voters {
-		view.Adopted[voter.Disk] = r.heard[name][voter.Disk] >= r.set.Epoch
+		view.Adopted[voter.Disk] = r.confirmedEpochs[name][voter.Disk] >= r.set.Epoch
 	}
 	switch change := replicaset.Plan(view); change.Kind {
 	case replicaset.Add, replicaset.Remove:
@@ -58,20 +60,20 @@
 	}
 }
 
-// adopt asks one voter for the epoch's adoption and its charges.
-func (r *restoring) adopt(name string, voter replicaset.Voter) {
-	asked := r.states[voter.Node]
-	if asked.Disk() != voter.Disk {
+// adopt makes one voter adopt the current epoch and merges the voter's charges.
+func (r *recoveringCell) adopt(name string, voter replicaset.Voter) {
+	state := r.states[voter.Node]
+	if state.Disk() != voter.Disk {
 		return
 	}
 	now := time.Unix(1001, 0)
-	output := asked.Step(now, ledger.Request{Adopt: &ledger.Adopt{Set: r.set, WithCharges: true}})
+	output := state.Step(now, ledger.Request{Adopt: &ledger.Adopt{Set: r.set, WithCharges: true}})
 	r.states[name].MergeCharges(now, output.Durable[0].Charges)
-	r.heard[name][voter.Disk] = r.set.Epoch
+	r.confirmedEpochs[name][voter.Disk] = r.set.Epoch
 }
 
-// known returns how many voters hold the charge.
-func (r *restoring) known() int {
+// votersWithCharge returns the number of voters that hold the charge.
+func (r *recoveringCell) votersWithCharge() int {
 	count := 0
 	for _, voter := range r.set.Voters {
 		output := r.states[voter.Node].Step(time.Unix(1002, 0), ledger.Request{Adopt: &ledger.Adopt{Set: r.set, WithCharges: true}})
@@ -82,18 +84,18 @@
 	return count
 }
 
-// Four voters have no quorum without two of them. The cell rests then; when it goes on, every
-// quorum knows each charge that one had accepted.
-func TestTwoLostDisksOfFourLoseNoAcceptedCharge(t *testing.T) {
+// Four voters have no quorum without two of them, so the cell stops until the new disks have
+// joined. Afterwards every quorum must hold each charge that a quorum had accepted before.
+func TestTwoLostDisksOfFourKeepAcceptedCharges(t *testing.T) {
 	for seed := range uint64(300) {
-		r := newRestoring(seed)
+		r := newRecoveringCell(seed)
 		names := []string{"a", "b", "c", "d"}
 		for range 400 {
-			if name := names[r.random.IntN(len(names))]; r.heard[name] != nil {
+			if name := names[r.random.IntN(len(names))]; r.confirmedEpochs[name] != nil {
 				r.step(name)
 			}
 		}
 		require.Len(t, r.set.Voters, len(names), "seed %d: both new disks have joined", seed)
-		require.Greater(t, r.known(), len(r.set.Voters)-r.set.Quorum(), "seed %d: every quorum holds the charge", seed)
+		require.Greater(t, r.votersWithCharge(), len(r.set.Voters)-r.set.Quorum(), "seed %d: every quorum holds the charge", seed)
 	}
 }
--- a/internal/quorum/model_test.go
+++ b/internal/quorum/model_test.go
@@ -12,43 +12,45 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// The model drives ledger.State, Tally and replicaset.Plan with messages that are
-// lost, delayed and reordered, with losses of power, of disks and of machines, and
-// with gateways that know old sets. It checks that no program is handed more than
-// its budget. Each guard can be removed, to see that the check can fail.
+// The model drives ledger.State, Tally and replicaset.Plan with messages that are lost, delayed and
+// reordered, with power losses, disk losses and machine losses, and with gateways that use outdated
+// replica sets. It checks that a program is never granted more than its budget. Each guard can be
+// removed, to show that the check can fail.
 
 const (
-	modelBudget = 40
-	modelMost   = 10
-	programName = "program"
+	modelBudget     = 40
+	modelTurnTokens = 10
+	programName     = "program"
 )
 
-// guards are the rules that a run may leave out.
+// guards are the protocol rules that a run may disable. The zero value enables all of them.
 type guards struct {
-	// actBeforeDurable hands tokens out on acceptance alone.
+	// actBeforeDurable grants tokens as soon as the reservation is accepted.
 	actBeforeDurable bool
-	// anyEpoch counts answers of every epoch.
+	// anyEpoch counts replies of every epoch.
 	anyEpoch bool
-	// joinUnheard lets a new disk vote without the others' charges.
-	joinUnheard bool
-	// joinAfterAGap takes a part of another replica's charges for all of them.
-	joinAfterAGap bool
-	// keepDisk lets a machine with an empty disk answer under its old identity.
-	keepDisk bool
+	// joinWithoutCharges lets a new disk vote without the charges of the others.
+	joinWithoutCharges bool
+	// joinWithPartialCharges treats a part of another replica's charges as all of them.
+	joinWithPartialCharges bool
+	// keepDiskIdentity lets a machine with an empty disk reply under its old disk identity.
+	keepDiskIdentity bool
 }
 
 type modelReplica struct {
 	node  string
 	state *ledger.State
-	// synced is the disk; unsynced the records and replies that wait for it.
-	synced   []ledger.Record
-	unsynced []ledger.Record
-	waiting  []modelMessage
-	life     int
-	// adopted holds the epochs confirmed by other disks, in this life.
+	// synced is the content of the disk. unsynced are the records, and pendingReplies the replies,
+	// that wait for a sync.
+	synced         []ledger.Record
+	unsynced       []ledger.Record
+	pendingReplies []modelMessage
+	incarnation    int
+	// adopted holds the epochs confirmed by other disks since the last restart.
 	adopted map[string]uint64
-	// places are how far the charges of other replicas are known, in this life.
-	places map[string]ledger.HandoverPlace
+	// positions are the handover positions reached in the charges of other replicas since the last
+	// restart.
+	positions map[string]ledger.HandoverPlace
 }
 
 type modelOperation struct {
@@ -58,31 +60,31 @@
 	done    bool
 }
 
-// modelMessage is one message under way; exactly one of request and reply is set.
+// modelMessage is one message in transit. Exactly one of request and reply is set.
 type modelMessage struct {
 	request *ledger.Request
 	reply   *ledger.Reply
 	// replica is the receiver of a request or the sender of a reply.
 	replica string
-	// asker is the replica that an adoption's reply goes to, with its life.
-	asker     string
-	askerLife int
-	operation int
+	// requester is the replica that the reply to an Adopt request goes to, with its incarnation.
+	requester            string
+	requesterIncarnation int
+	operation            int
 }
 
 type model struct {
-	random     *rand.Rand
-	guards     guards
-	now        time.Time
-	replicas   map[string]*modelReplica
-	names      []string
-	set        replicaset.Set
-	views      []replicaset.Set
-	messages   []modelMessage
-	operations []*modelOperation
-	handed     int64
-	disks      int
-	// wipedAt is the machine whose new disk is not a voter yet.
+	random        *rand.Rand
+	guards        guards
+	now           time.Time
+	replicas      map[string]*modelReplica
+	names         []string
+	set           replicaset.Set
+	views         []replicaset.Set
+	messages      []modelMessage
+	operations    []*modelOperation
+	grantedTokens int64
+	disks         int
+	// recovering is the machine whose new disk is not a voter yet.
 	recovering string
 }
 
@@ -95,9 +97,9 @@
 	for i := range size {
 		name := fmt.Sprintf("r%d", i)
 		m.names = append(m.names, name)
-		replica := &modelReplica{node: name, adopted: map[string]uint64{}, places: map[string]ledger.HandoverPlace{}}
+		replica := &modelReplica{node: name, adopted: map[string]uint64{}, positions: map[string]ledger.HandoverPlace{}}
 		m.replicas[name] = replica
-		m.emptyDisk(replica)
+		m.replaceDisk(replica)
 		m.set.Voters = append(m.set.Voters, replicaset.Voter{Node: name, Disk: replica.state.Disk()})
 	}
 	m.set.Epoch = 1
@@ -112,28 +114,28 @@
 	return m
 }
 
-func (m *model) emptyDisk(r *modelReplica) {
+func (m *model) replaceDisk(r *modelReplica) {
 	m.disks++
 	disk := fmt.Sprintf("disk-%d", m.disks)
-	if m.guards.keepDisk && r.state != nil {
+	if m.guards.keepDiskIdentity && r.state != nil {
 		disk = r.state.Disk()
 	}
 	r.state = ledger.NewState(disk, disk)
-	r.synced, r.unsynced, r.waiting = []ledger.Record{{Disk: disk}}, nil, nil
-	r.adopted, r.places = map[string]uint64{}, map[string]ledger.HandoverPlace{}
-	r.life++
+	r.synced, r.unsynced, r.pendingReplies = []ledger.Record{{Disk: disk}}, nil, nil
+	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPlace{}
+	r.incarnation++
 }
 
-// apply queues what a step asks for.
+// apply queues the records and replies of a step.
 func (m *model) apply(r *modelReplica, output ledger.Output, to modelMessage) {
 	for _, reply := range output.Now {
 		m.reply(r, reply, to)
 	}
 	r.unsynced = append(r.unsynced, output.Records...)
 	for _, reply := range output.Durable {
-		waiting := to
-		waiting.reply = &reply
-		r.waiting = append(r.waiting, waiting)
+		message := to
+		message.reply = &reply
+		r.pendingReplies = append(r.pendingReplies, message)
 	}
 }
 
@@ -144,20 +146,20 @@
 
 func (m *model) sync(r *modelReplica) {
 	r.synced = append(r.synced, r.unsynced...)
-	for _, waiting := range r.waiting {
+	for _, waiting := range r.pendingReplies {
 		m.reply(r, *waiting.reply, waiting)
 	}
-	r.unsynced, r.waiting = nil, nil
+	r.unsynced, r.pendingReplies = nil, nil
 }
 
 func (m *model) losePower(r *modelReplica) {
-	r.life++
-	r.state = ledger.NewState("", fmt.Sprint(r.node, "-", r.life))
+	r.incarnation++
+	r.state = ledger.NewState("", fmt.Sprint(r.node, "-", r.incarnation))
 	for _, record := range r.synced {
 		r.state.Replay(m.now, record)
 	}
-	r.unsynced, r.waiting = nil, nil
-	r.adopted, r.places = map[string]uint64{}, map[string]ledger.HandoverPlace{}
+	r.unsynced, r.pendingReplies = nil, nil
+	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPlace{}
 }
 
 func (m *model) begin() {
@@ -172,20 +174,20 @@
 	view := m.views[operation.gateway]
 	for _, voter := range view.Voters {
 		request := ledger.Request{Epoch: view.Epoch, Reserve: &ledger.Reserve{
-			Program: programName, Charge: ledger.Charge{Turn: operation.turn, Tokens: modelMost},
+			Program: programName, Charge: ledger.Charge{Turn: operation.turn, Tokens: modelTurnTokens},
 		}}
 		m.messages = append(m.messages, modelMessage{request: &request, replica: voter.Node, operation: number})
 	}
 }
 
-// deliver hands over one message, in no order.
+// deliver delivers one message, chosen at random.
 func (m *model) deliver() {
 	if len(m.messages) == 0 {
 		return
 	}
-	place := m.random.IntN(len(m.messages))
-	message := m.messages[place]
-	m.messages = append(m.messages[:place], m.messages[place+1:]...)
+	index := m.random.IntN(len(m.messages))
+	message := m.messages[index]
+	m.messages = append(m.messages[:index], m.messages[index+1:]...)
 	const lossOneIn = 12
 	if m.random.IntN(lossOneIn) == 0 {
 		return
@@ -195,7 +197,7 @@
 		m.apply(r, r.state.Step(m.now, *message.request), message)
 		return
 	}
-	if message.asker != "" {
+	if message.requester != "" {
 		m.receiveAdoption(message)
 		return
 	}
@@ -203,16 +205,16 @@
 }
 
 func (m *model) receiveAdoption(message modelMessage) {
-	asker := m.replicas[message.asker]
-	if asker.life != message.askerLife {
+	requester := m.replicas[message.requester]
+	if requester.incarnation != message.requesterIncarnation {
 		return
 	}
-	asker.unsynced = append(asker.unsynced, asker.state.MergeCharges(m.now, message.reply.Charges)...)
-	m.sync(asker)
-	place, complete := asker.places[message.reply.Disk].Follow(*message.reply.Handover)
-	asker.places[message.reply.Disk] = place
-	if complete || m.guards.joinAfterAGap {
-		asker.adopted[message.reply.Disk] = max(asker.adopted[message.reply.Disk], message.reply.Epoch)
+	requester.unsynced = append(requester.unsynced, requester.state.MergeCharges(m.now, message.reply.Charges)...)
+	m.sync(requester)
+	position, complete := requester.positions[message.reply.Disk].Follow(*message.reply.Handover)
+	requester.positions[message.reply.Disk] = position
+	if complete || m.guards.joinWithPartialCharges {
+		requester.adopted[message.reply.Disk] = max(requester.adopted[message.reply.Disk], message.reply.Epoch)
 	}
 }
 
@@ -231,11 +233,11 @@
 		reply.Epoch = 1 << 40
 	}
 	operation.tally.Add(reply)
-	m.act(operation)
+	m.grantIfReserved(operation)
 }
 
-// act hands the turn's tokens out once the reservation holds.
-func (m *model) act(operation *modelOperation) {
+// grantIfReserved grants the turn its tokens once the reservation counts as made.
+func (m *model) grantIfReserved(operation *modelOperation) {
 	view := m.views[operation.gateway]
 	if operation.done || !operation.tally.Accepted(view) {
 		return
@@ -244,24 +246,24 @@
 		return
 	}
 	operation.done = true
-	if operation.tally.OtherTurnTokens(operation.turn)+modelMost <= modelBudget {
-		m.handed += modelMost
+	if operation.tally.OtherTurnTokens(operation.turn)+modelTurnTokens <= modelBudget {
+		m.grantedTokens += modelTurnTokens
 	}
 }
 
-// wipe takes a machine's disk; only one at a time may be without its past.
-func (m *model) wipe() {
+// wipeDisk replaces a machine's disk by an empty one. Only one machine at a time may be recovering.
+func (m *model) wipeDisk() {
 	if m.recovering != "" {
 		return
 	}
 	r := m.replicas[m.names[m.random.IntN(len(m.names))]]
-	m.emptyDisk(r)
-	if !m.guards.keepDisk {
+	m.replaceDisk(r)
+	if !m.guards.keepDiskIdentity {
 		m.recovering = r.node
 	}
 }
 
-// changeMembership lets one replica take its next step.
+// changeMembership makes one replica plan and apply its next membership change.
 func (m *model) changeMembership() {
 	r := m.replicas[m.names[m.random.IntN(len(m.names))]]
 	own := replicaset.Voter{Node: r.node, Disk: r.state.Disk()}
@@ -270,7 +272,7 @@
 		view.Disks[name] = m.replicas[name].state.Disk()
 	}
 	for _, voter := range m.set.Voters {
-		view.Adopted[voter.Disk] = r.adopted[voter.Disk] >= m.set.Epoch || m.guards.joinUnheard
+		view.Adopted[voter.Disk] = r.adopted[voter.Disk] >= m.set.Epoch || m.guards.joinWithoutCharges
 	}
 	if r.state.Set().Epoch >= m.set.Epoch {
 		view.Adopted[own.Disk] = true
@@ -278,7 +280,7 @@
 	change := replicaset.Plan(view)
 	switch change.Kind {
 	case replicaset.Wait:
-		m.askAdoption(r)
+		m.requestAdoption(r)
 	case replicaset.Add, replicaset.Remove:
 		m.set = change.Next
 		if change.Kind == replicaset.Add && own.Node == m.recovering {
@@ -287,27 +289,27 @@
 	}
 }
 
-func (m *model) askAdoption(r *modelReplica) {
+func (m *model) requestAdoption(r *modelReplica) {
 	for _, voter := range m.set.Voters {
-		request := ledger.Request{Adopt: &ledger.Adopt{Set: m.set, Charges: 2, After: r.places[voter.Disk]}}
-		m.messages = append(m.messages, modelMessage{request: &request, replica: voter.Node, asker: r.node, askerLife: r.life})
+		request := ledger.Request{Adopt: &ledger.Adopt{Set: m.set, Charges: 2, After: r.positions[voter.Disk]}}
+		m.messages = append(m.messages, modelMessage{request: &request, replica: voter.Node, requester: r.node, requesterIncarnation: r.incarnation})
 	}
 }
 
 func (m *model) step() {
 	replica := m.replicas[m.names[m.random.IntN(len(m.names))]]
-	switch draw := m.random.IntN(100); {
-	case draw < 6:
+	switch roll := m.random.IntN(100); {
+	case roll < 6:
 		m.begin()
-	case draw < 66:
+	case roll < 66:
 		m.deliver()
-	case draw < 84:
+	case roll < 84:
 		m.sync(replica)
-	case draw < 85:
+	case roll < 85:
 		m.losePower(replica)
-	case draw < 86:
-		m.wipe()
-	case draw < 97:
+	case roll < 86:
+		m.wipeDisk()
+	case roll < 97:
 		m.changeMembership()
 	default:
 		m.views[m.random.IntN(len(m.views))] = m.set
@@ -318,7 +320,7 @@
 	for range steps {
 		m.step()
 	}
-	return m.handed
+	return m.grantedTokens
 }
 
 const (
@@ -326,25 +328,25 @@
 	modelSeeds = 300
 )
 
-func TestNoProgramIsHandedMoreThanItsBudget(t *testing.T) {
-	served := 0
+func TestModelNeverExceedsBudget(t *testing.T) {
+	productive := 0
 	for seed := range uint64(modelSeeds) {
-		handed := newModel(seed, guards{}).run(modelSteps)
-		require.LessOrEqual(t, handed, int64(modelBudget), "seed %d", seed)
-		if handed > 0 {
-			served++
+		granted := newModel(seed, guards{}).run(modelSteps)
+		require.LessOrEqual(t, granted, int64(modelBudget), "seed %d", seed)
+		if granted > 0 {
+			productive++
 		}
 	}
-	require.Greater(t, served, modelSeeds*9/10, "the model must hand something out in most runs")
+	require.Greater(t, productive, modelSeeds*9/10, "the model must grant tokens in most runs")
 }
 
-func TestTheModelFindsEachMissingGuard(t *testing.T) {
+func TestModelDetectsMissingGuards(t *testing.T) {
 	removed := map[string]guards{
 		"act before durable":           {actBeforeDurable: true},
-		"count answers of any epoch":   {anyEpoch: true},
-		"join without others' charges": {joinUnheard: true},
-		"keep the identity of a disk":  {keepDisk: true},
-		"join with a part of them":     {joinAfterAGap: true},
+		"count replies of any epoch":   {anyEpoch: true},
+		"join without others' charges": {joinWithoutCharges: true},
+		"keep the identity of a disk":  {keepDiskIdentity: true},
+		"join with partial charges":    {joinWithPartialCharges: true},
 	}
 	for name, guard := range removed {
 		t.Run(name, func(t *testing.T) {
--- a/internal/quorum/ondemand_test.go
+++ b/internal/quorum/ondemand_test.go
@@ -13,8 +13,8 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// fleetOfCells returns the membership of a fleet with so many cells of four replicas, none of
-// which can be reached.
+// fleetOfCells returns the membership of a fleet with the given number of cells of four unreachable
+// replicas each.
 func fleetOfCells(cells int) replicaset.Membership {
 	const voters = 4
 	membership := replicaset.Membership{
@@ -30,52 +30,53 @@
 	return membership
 }
 
-// connections returns how many connections to replicas a gateway keeps, by cell.
-func connections(cells *Cells) (kept []int, total int) {
-	kept = make([]int, len(cells.clients()))
+// openConnections returns the number of connections to replicas that a gateway holds, per cell and
+// in total.
+func openConnections(cells *Cells) (perCell []int, total int) {
+	perCell = make([]int, len(cells.clients()))
 	for cell, client := range cells.clients() {
 		client.mu.Lock()
 		for _, replica := range client.replicas {
 			if replica.link != nil {
-				kept[cell]++
+				perCell[cell]++
 				total++
 			}
 		}
 		client.mu.Unlock()
 	}
-	return kept, total
+	return perCell, total
 }
 
-// A gateway that has nothing to do must not keep more connections in a larger fleet: all
-// gateways together would keep gateways times replicas.
-func TestConnectionsToReplicasDoNotGrowWithTheFleet(t *testing.T) {
+// An idle gateway must not hold more connections in a larger fleet. Otherwise the total number of
+// connections would be gateways times replicas.
+func TestReplicaConnectionsDoNotGrowWithFleet(t *testing.T) {
 	for _, cells := range []int{2, 30, 60} {
-		gateway := NewCells(t.Context(), "g", "a", nil, quiet())
+		gateway := NewCells(t.Context(), "g", "a", nil, discardLogger())
 		gateway.SetMembership(fleetOfCells(cells))
-		_, total := connections(gateway)
+		_, total := openConnections(gateway)
 		require.Equal(t, 8, total, cells)
 	}
 }
 
-func TestGatewaysSpreadOverTheCells(t *testing.T) {
+func TestPreconnectedCellsAreSpreadEvenly(t *testing.T) {
 	const gateways, cells = 600, 30
 	counts := make([]int, cells)
 	for number := range gateways {
 		gateway := &Cells{node: fmt.Sprint("g", number), layout: replicaset.Layout{Cells: cells}}
-		kept := gateway.keptCells()
-		require.Len(t, kept, keptCells)
-		for _, cell := range kept {
+		preconnected := gateway.preconnectedCells()
+		require.Len(t, preconnected, maxPreconnectedCells)
+		for _, cell := range preconnected {
 			counts[cell]++
 		}
 	}
 	for cell, count := range counts {
-		require.InDelta(t, gateways*keptCells/cells, count, 20, cell)
+		require.InDelta(t, gateways*maxPreconnectedCells/cells, count, 20, cell)
 	}
 }
 
-// A gateway that relays for another one opens the connection that it does not have, in place
-// of saying that the replica is out of reach.
-func TestARelayOpensItsConnection(t *testing.T) {
+// A relay without a connection to the replica must open one instead of replying that the replica is
+// unreachable.
+func TestRelayOpensConnectionOnDemand(t *testing.T) {
 	f := startRelayFleet(t)
 	relaying := f.addGateway(t, "g1", true)
 	client := relaying.ForProgram("p", place.Homes{})
@@ -86,21 +87,21 @@
 		client.replicas[index] = &replicaLink{client: client, node: replica.node, zone: replica.zone}
 	}
 	client.mu.Unlock()
-	answers := make(chan RelayReply, 8)
-	link := peer.NewLink[RelayRequest, RelayReply](t.Context(), f.gateways["g1"].Address, relayAnswers(answers))
+	replies := make(chan RelayReply, 8)
+	link := peer.NewLink[RelayRequest, RelayReply](t.Context(), f.gateways["g1"].Address, relayReplies(replies))
 	request := RelayRequest{Replica: "r1", Request: ledger.Request{Number: 7, Epoch: 1, Reserve: &ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 3}, Retention: time.Minute,
 	}}}
 	require.Eventually(t, func() bool { return link.Send(request) }, 20*time.Second, time.Millisecond)
-	answer := <-answers
-	require.False(t, answer.Unreachable)
-	require.Equal(t, uint64(7), answer.Reply.Number)
-	require.NotNil(t, answer.Reply.Reserve)
+	reply := <-replies
+	require.False(t, reply.Unreachable)
+	require.Equal(t, uint64(7), reply.Reply.Number)
+	require.NotNil(t, reply.Reply.Reserve)
 }
 
-// relayAnswers takes the answers of a relaying gateway.
-type relayAnswers chan RelayReply
+// relayReplies receives the replies of a relay.
+type relayReplies chan RelayReply
 
-func (r relayAnswers) LinkUp()                   {}
-func (r relayAnswers) LinkDown(error)            {}
-func (r relayAnswers) Received(reply RelayReply) { r <- reply }
+func (r relayReplies) LinkUp()                   {}
+func (r relayReplies) LinkDown(error)            {}
+func (r relayReplies) Received(reply RelayReply) { r <- reply }
--- a/internal/quorum/relay.go
+++ b/internal/quorum/relay.go
@@ -16,68 +16,71 @@
 	"swiftbank.dev/swiftbank/internal/traffic"
 )
 
-// relayIdle is how long a connection to a relaying gateway stays without use.
-const relayIdle = 10 * time.Second
+// relayIdleTimeout is how long an unused connection to a relay stays open.
+const relayIdleTimeout = 10 * time.Second
 
-// Relays are the connections to replicas by other gateways, for a gateway whose own are
-// cut. Connections are opened when they are needed. It is safe for concurrent use.
+// Relays sends requests to replicas through other gateways, called relays, when the gateway's own
+// connections to the replicas are down or unresponsive. It connects to a relay on demand. It is
+// safe for concurrent use.
 type Relays struct {
 	context context.Context
 	node    string
 	zone    string
 	places  place.Map
 	log     *log.Logger
-	// replied hands over a replica's reply; reopened says that a relay is connected again, and
-	// what was sent before may be lost. Both are set before first use.
-	replied  func(RelayReply)
-	reopened func()
-	// counted is told of each request that went by a relay.
-	counted func()
-	traffic *traffic.Counter
-
-	mu    sync.Mutex
-	nodes map[string]replicaset.Node
-	order *relayOrder
-	links map[string]*relayLink
-	// probedAt is when a request for a replica was last sent while no gateway was proven
-	// to reach the replicas. While there may be none, one request at a time asks.
+	// onReply is called with each reply of a replica. onReconnect is called when requests should be
+	// retried: when a relay connects, since earlier requests may be lost, and on the first reply
+	// while no relay is proven. Both are set before first use.
+	onReply     func(RelayReply)
+	onReconnect func()
+	// onRequest is called for each request sent to a relay.
+	onRequest func()
+	traffic   *traffic.Counter
+
+	mu       sync.Mutex
+	nodes    map[string]replicaset.Node
+	selector *relaySelector
+	links    map[string]*relayLink
+	// probedAt is when a request for each replica was last sent while no relay was proven. Until
+	// one is proven, only one request per replica and timeout is sent as a probe.
 	probedAt map[string]time.Time
 }
 
-// NewRelays returns the relays of a gateway. counted is called for each request sent.
-func NewRelays(ctx context.Context, node, zone string, places place.Map, logger *log.Logger, counted func()) *Relays {
+// NewRelays returns the relays of the named gateway. onRequest is called for each request sent to a
+// relay.
+func NewRelays(ctx context.Context, node, zone string, places place.Map, logger *log.Logger, onRequest func()) *Relays {
 	return &Relays{
-		context: ctx, node: node, zone: zone, places: places, log: logger, counted: counted,
-		replied: func(RelayReply) {}, reopened: func() {},
-		nodes: map[string]replicaset.Node{}, order: newRelayOrder(), links: map[string]*relayLink{},
+		context: ctx, node: node, zone: zone, places: places, log: logger, onRequest: onRequest,
+		onReply: func(RelayReply) {}, onReconnect: func() {},
+		nodes: map[string]replicaset.Node{}, selector: newRelaySelector(), links: map[string]*relayLink{},
 		probedAt: map[string]time.Time{},
 	}
 }
 
-// relayLink is the connection to one relaying gateway.
+// relayLink is the connection to one relay.
 type relayLink struct {
 	relays *Relays
 	node   replicaset.Node
 	link   *peer.Link[RelayRequest, RelayReply]
-	// idle closes the connection when it was not used for relayIdle.
-	idle *time.Timer
-	// silence is how long no reply has followed a request.
+	// idleTimer closes the connection after relayIdleTimeout without use.
+	idleTimer *time.Timer
+	// silence measures how long requests have been without a reply.
 	silence peer.SilenceDetector
 }
 
-// SetGateways replaces the gateways by those that the registry lists.
+// SetGateways replaces the known gateways by those that the registry lists.
 func (r *Relays) SetGateways(nodes map[string]replicaset.Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nodes = nodes
 	names := r.candidates(nodes)
 	slices.SortFunc(names, func(a, b string) int {
-		if near := cmp.Compare(r.distance(a), r.distance(b)); near != 0 {
-			return near
+		if byDistance := cmp.Compare(r.distance(a), r.distance(b)); byDistance != 0 {
+			return byDistance
 		}
 		return cmp.Compare(a, b)
 	})
-	r.order.setCandidates(names)
+	r.selector.setCandidates(names)
 	for name, link := range r.links {
 		if node, listed := nodes[name]; !listed || node.Address != link.node.Address {
 			r.close(name)
@@ -85,60 +88,60 @@
 	}
 }
 
-// candidates returns the gateways that may relay: those of the own region, or all where it has
-// no other. Requests carry turns, and the round trip to another region is long. The caller holds
-// the lock.
+// candidates returns the gateways that may relay: the others of the own region, or those of all
+// regions if there is none. The own region is preferred because requests carry the text of turns
+// and the round trip to another region is long. The caller holds the lock.
 func (r *Relays) candidates(nodes map[string]replicaset.Node) []string {
-	var near, far []string
+	var sameRegion, otherRegions []string
 	for name, node := range nodes {
 		switch {
 		case name == r.node || node.Leaving:
 		case r.distance(name) == place.OtherRegion:
-			far = append(far, name)
+			otherRegions = append(otherRegions, name)
 		default:
-			near = append(near, name)
+			sameRegion = append(sameRegion, name)
 		}
 	}
-	if len(near) == 0 {
-		return far
+	if len(sameRegion) == 0 {
+		return otherRegions
 	}
-	return near
+	return sameRegion
 }
 
 func (r *Relays) distance(name string) place.Distance {
 	return r.places.Distance(r.nodes[name].Zone, r.zone)
 }
 
-// send asks other gateways to pass a request on. Nothing is promised: the caller sends
-// again what is not answered.
+// send sends a request to one or more relays. Delivery is not guaranteed; the caller retries
+// requests that are not answered. timeout is how long a relay may take to reply.
 func (r *Relays) send(request RelayRequest, timeout time.Duration) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.order.proven() == "" {
+	if r.selector.proven() == "" {
 		if now.Sub(r.probedAt[request.Replica]) < timeout {
 			return
 		}
 		r.probedAt[request.Replica] = now
 	}
-	for _, name := range r.order.pick(now, timeout) {
+	for _, name := range r.selector.pick(now, timeout) {
 		r.closeIfSilent(now, name)
 		link := r.open(name)
-		link.idle.Reset(relayIdle)
+		link.idleTimer.Reset(relayIdleTimeout)
 		link.silence.RequestSent(now)
-		r.order.asked(now, name)
+		r.selector.recordRequest(now, name)
 		link.link.Send(request)
-		r.counted()
+		r.onRequest()
 	}
 }
 
-// open returns the connection to a gateway. The caller holds the lock.
+// open returns the connection to a relay and opens it if necessary. The caller holds the lock.
 func (r *Relays) open(name string) *relayLink {
 	if link := r.links[name]; link != nil {
 		return link
 	}
 	link := &relayLink{relays: r, node: r.nodes[name]}
-	link.idle = time.AfterFunc(relayIdle, func() {
+	link.idleTimer = time.AfterFunc(relayIdleTimeout, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.links[name] == link {
@@ -151,8 +154,8 @@
 	return link
 }
 
-// closeIfSilent ends a connection on which nothing was answered for long. The caller holds the
-// lock.
+// closeIfSilent closes a connection on which the relay has not replied for peer.AnswerTimeout. The
+// caller holds the lock.
 func (r *Relays) closeIfSilent(now time.Time, name string) {
 	link := r.links[name]
 	if link == nil || !link.silence.TimedOut(now) {
@@ -162,10 +165,10 @@
 	r.close(name)
 }
 
-// close ends the connection to a gateway. The caller holds the lock.
+// close closes the connection to a relay. The caller holds the lock.
 func (r *Relays) close(name string) {
 	link := r.links[name]
-	link.idle.Stop()
+	link.idleTimer.Stop()
 	link.link.CloseAsync()
 	delete(r.links, name)
 	r.log.Info().Str("event", "relay_closed").Str("gateway", name).Msg("")
@@ -177,14 +180,14 @@
 }
 
 // LinkUp implements peer.Handler.
-func (l *relayLink) LinkUp() { l.relays.reopened() }
+func (l *relayLink) LinkUp() { l.relays.onReconnect() }
 
 // LinkDown implements peer.Handler.
 func (l *relayLink) LinkDown(error) {
 	r := l.relays
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.order.failed(time.Now(), l.node.Name)
+	r.selector.recordFailure(time.Now(), l.node.Name)
 }
 
 // Received implements peer.Handler.
@@ -195,16 +198,16 @@
 	r.mu.Unlock()
 	if reply.Unreachable {
 		r.mu.Lock()
-		r.order.unreachable(time.Now(), l.node.Name)
+		r.selector.recordUnreachable(time.Now(), l.node.Name)
 		r.mu.Unlock()
 		return
 	}
 	r.mu.Lock()
-	first := r.order.proven() == ""
-	r.order.answered(time.Now(), l.node.Name)
+	firstReply := r.selector.proven() == ""
+	r.selector.recordReply(time.Now(), l.node.Name)
 	r.mu.Unlock()
-	r.replied(reply)
-	if first {
-		r.reopened() // what waited for a relay goes by it
+	r.onReply(reply)
+	if firstReply {
+		r.onReconnect() // pending operations can now use the relay
 	}
 }
--- a/internal/quorum/relay_test.go
+++ b/internal/quorum/relay_test.go
@@ -14,7 +14,7 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// deadAddress returns an address at which nothing listens.
+// deadAddress returns an address on which nothing listens.
 func deadAddress(t *testing.T) string {
 	listener, err := peer.Listen(context.Background(), "127.0.0.1:0")
 	require.NoError(t, err)
@@ -23,25 +23,25 @@
 	return address
 }
 
-// relayFleet is a gateway whose way to all replicas is cut, and others.
+// relayFleet has three replicas, a gateway that is disconnected from all of them, and relays.
 type relayFleet struct {
-	replicas []*standReplica
-	cut      *Cells
-	relays   *Relays
-	gateways map[string]replicaset.Node
+	replicas     []*fakeReplica
+	disconnected *Cells
+	relays       *Relays
+	gateways     map[string]replicaset.Node
 }
 
 func membershipOf(nodes []replicaset.Node, set replicaset.Set) replicaset.Membership {
 	cell := 0
-	read := replicaset.Membership{
+	membership := replicaset.Membership{
 		HasLayout: true, Layout: replicaset.Layout{Cells: 1},
 		Sets: []replicaset.Set{set}, Replicas: map[string]replicaset.Node{},
 	}
 	for _, node := range nodes {
 		node.Cell = &cell
-		read.Replicas[node.Name] = node
+		membership.Replicas[node.Name] = node
 	}
-	return read
+	return membership
 }
 
 func startRelayFleet(t *testing.T) *relayFleet {
@@ -51,25 +51,25 @@
 	for i := range 3 {
 		f.replicas = append(f.replicas, startReplica(t, fmt.Sprint("r", i), "127.0.0.1:0"))
 	}
-	var cutNodes []replicaset.Node
+	var unreachableNodes []replicaset.Node
 	for _, node := range nodesOf(f.replicas...) {
 		node.Address = deadAddress(t)
-		cutNodes = append(cutNodes, node)
+		unreachableNodes = append(unreachableNodes, node)
 	}
-	f.relays = NewRelays(ctx, "cut", "r0", nil, quiet(), func() {})
-	f.cut = NewCells(ctx, "g", "r0", nil, quiet())
-	f.cut.UseRelays(f.relays)
-	f.cut.SetMembership(membershipOf(cutNodes, setOf(1, f.replicas...)))
+	f.relays = NewRelays(ctx, "cut", "r0", nil, discardLogger(), func() {})
+	f.disconnected = NewCells(ctx, "g", "r0", nil, discardLogger())
+	f.disconnected.UseRelays(f.relays)
+	f.disconnected.SetMembership(membershipOf(unreachableNodes, setOf(1, f.replicas...)))
 	return f
 }
 
-// addGateway starts a gateway that relays; without reach its own ways are cut too.
-func (f *relayFleet) addGateway(t *testing.T, name string, reaches bool) *Cells {
+// addGateway starts a relay. If connected is false, it cannot reach the replicas either.
+func (f *relayFleet) addGateway(t *testing.T, name string, connected bool) *Cells {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	cells := NewCells(ctx, "g", "r0", nil, quiet())
+	cells := NewCells(ctx, "g", "r0", nil, discardLogger())
 	nodes := nodesOf(f.replicas...)
-	if !reaches {
+	if !connected {
 		for i := range nodes {
 			nodes[i].Address = deadAddress(t)
 		}
@@ -80,7 +80,7 @@
 	server := peer.NewServer(listener, cells.Forward)
 	go server.Run()
 	t.Cleanup(server.Close)
-	if reaches {
+	if connected {
 		require.Eventually(t, cells.ForProgram("p", place.Homes{}).Ready, 20*time.Second, time.Millisecond)
 	}
 	f.gateways[name] = replicaset.Node{Name: name, Role: replicaset.RoleGateway, Address: listener.Addr().String(), Zone: "r0"}
@@ -89,39 +89,39 @@
 }
 
 func (f *relayFleet) reserve(t *testing.T, turn string, tokens int64) (*Reservation, error) {
-	return f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
+	return f.disconnected.ForProgram("p", place.Homes{}).Reserve(contextWithTimeout(t, 20*time.Second), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: turn, Tokens: tokens}, Retention: time.Minute,
 	})
 }
 
-func TestACutGatewayReservesByAnother(t *testing.T) {
+func TestDisconnectedGatewayReservesThroughRelay(t *testing.T) {
 	f := startRelayFleet(t)
 	f.addGateway(t, "g1", false)
 	f.addGateway(t, "g2", true)
 	reservation, err := f.reserve(t, "t1", 10)
 	require.NoError(t, err)
-	require.NoError(t, reservation.Durable(limited(t, 20*time.Second), 1))
+	require.NoError(t, reservation.Durable(contextWithTimeout(t, 20*time.Second), 1))
 	reservation.StopRetrying()
 	second, err := f.reserve(t, "t2", 5)
 	require.NoError(t, err)
 	require.Equal(t, int64(10), second.OtherTurnTokens)
 }
 
-func TestWithoutRelaysACutGatewayReservesNothing(t *testing.T) {
+func TestDisconnectedGatewayWithoutRelaysFails(t *testing.T) {
 	f := startRelayFleet(t)
-	_, err := f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 300*time.Millisecond), ledger.Reserve{
+	_, err := f.disconnected.ForProgram("p", place.Homes{}).Reserve(contextWithTimeout(t, 300*time.Millisecond), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 10},
 	})
 	require.ErrorIs(t, err, ErrNoQuorum)
 }
 
-func TestARelayedCommitAndHistoryTravelWhole(t *testing.T) {
+func TestRelayedCommitAndHistory(t *testing.T) {
 	f := startRelayFleet(t)
 	f.addGateway(t, "g1", true)
 	turn := &ledger.Turn{ID: "t1", Input: []byte("in"), Output: []byte("out"), Instance: "i-1", Retention: time.Minute}
 	commit := ledger.Commit{Program: "p", Charge: ledger.Charge{Turn: "t1", Tokens: 3, Final: true}, Retention: time.Minute, Turn: turn}
-	require.NoError(t, f.cut.ForProgram("p", place.Homes{}).Commit(limited(t, 20*time.Second), commit, 2))
-	reservation, err := f.cut.ForProgram("p", place.Homes{}).Reserve(limited(t, 20*time.Second), ledger.Reserve{
+	require.NoError(t, f.disconnected.ForProgram("p", place.Homes{}).Commit(contextWithTimeout(t, 20*time.Second), commit, 2))
+	reservation, err := f.disconnected.ForProgram("p", place.Homes{}).Reserve(contextWithTimeout(t, 20*time.Second), ledger.Reserve{
 		Program: "p", Charge: ledger.Charge{Turn: "t2", Tokens: 10}, History: "t1",
 	})
 	require.NoError(t, err)
@@ -130,9 +130,9 @@
 	require.Equal(t, int64(3), reservation.OtherTurnTokens)
 }
 
-// A relaying gateway passes the sender's epoch on as it is: a replica that has adopted
-// a newer one refuses the reservation, and the sender learns of the newer set.
-func TestARelayedReservationOfAnOldEpochIsRefused(t *testing.T) {
+// A relay must forward the sender's epoch unchanged, so that a replica that has adopted a newer one
+// refuses the reservation and the sender learns the newer set.
+func TestRelayKeepsSenderEpoch(t *testing.T) {
 	f := startRelayFleet(t)
 	relaying := f.addGateway(t, "g1", true)
 	newer := setOf(2, f.replicas...)
@@ -141,39 +141,39 @@
 	}
 	reservation, err := f.reserve(t, "t1", 10)
 	require.NoError(t, err)
-	require.Equal(t, uint64(2), f.cut.ForProgram("p", place.Homes{}).Epoch())
+	require.Equal(t, uint64(2), f.disconnected.ForProgram("p", place.Homes{}).Epoch())
 	require.Equal(t, uint64(1), relaying.ForProgram("p", place.Homes{}).Epoch())
 	reservation.StopRetrying()
 }
 
-func TestRelayOrder(t *testing.T) {
+func TestRelaySelector(t *testing.T) {
 	const timeout = 30 * time.Millisecond
 	start := time.Unix(0, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	order := newRelayOrder()
-	require.Empty(t, order.pick(at(0), timeout), "nobody to ask")
-	order.setCandidates([]string{"a", "b", "c", "d"})
-	require.Equal(t, []string{"a", "b"}, order.pick(at(0), timeout), "several while none is proven")
-	order.asked(at(0), "a")
-	order.asked(at(0), "b")
-	require.Equal(t, []string{"a", "b"}, order.pick(at(10), timeout), "the same within the timeout")
-	require.Equal(t, []string{"c", "d"}, order.pick(at(40), timeout), "those that did not answer come last")
-	order.answered(at(45), "d")
-	require.Equal(t, []string{"d"}, order.pick(at(46), timeout), "the proven one alone")
-	order.failed(at(50), "d")
-	require.NotContains(t, order.pick(at(51), timeout), "d", "no longer proven")
-	order.answered(at(60), "c")
-	require.Equal(t, []string{"c"}, order.pick(at(61), timeout))
-	order.setCandidates([]string{"a", "b"})
-	require.NotContains(t, order.pick(at(62), timeout), "c", "gone from the list")
+	selector := newRelaySelector()
+	require.Empty(t, selector.pick(at(0), timeout), "no candidates")
+	selector.setCandidates([]string{"a", "b", "c", "d"})
+	require.Equal(t, []string{"a", "b"}, selector.pick(at(0), timeout), "several while none is proven")
+	selector.recordRequest(at(0), "a")
+	selector.recordRequest(at(0), "b")
+	require.Equal(t, []string{"a", "b"}, selector.pick(at(10), timeout), "unchanged within the timeout")
+	require.Equal(t, []string{"c", "d"}, selector.pick(at(40), timeout), "candidates that did not reply come last")
+	selector.recordReply(at(45), "d")
+	require.Equal(t, []string{"d"}, selector.pick(at(46), timeout), "only the proven candidate")
+	selector.recordFailure(at(50), "d")
+	require.NotContains(t, selector.pick(at(51), timeout), "d", "no longer proven")
+	selector.recordReply(at(60), "c")
+	require.Equal(t, []string{"c"}, selector.pick(at(61), timeout))
+	selector.setCandidates([]string{"a", "b"})
+	require.NotContains(t, selector.pick(at(62), timeout), "c", "no longer a candidate")
 }
 
-// During an outage of all replicas thousands of requests wait; they must not all be sent
-// again and again to gateways that have no way either.
-func TestWithoutAnyWayFewRequestsAreRelayed(t *testing.T) {
+// During an outage of all replicas, thousands of requests wait. They must not all be sent
+// repeatedly to relays that cannot reach the replicas either.
+func TestUnprovenRelayGetsOneProbePerReplica(t *testing.T) {
 	f := startRelayFleet(t)
 	sent := 0
-	f.relays.counted = func() { sent++ }
+	f.relays.onRequest = func() { sent++ }
 	f.relays.SetGateways(map[string]replicaset.Node{"g1": {Name: "g1", Address: deadAddress(t), Zone: "r0"}})
 	const requests, replicas = 500, 3
 	for range requests {
@@ -184,39 +184,39 @@
 	require.Equal(t, replicas, sent)
 }
 
-func TestALostReplicaSaysNothingOfTheRelay(t *testing.T) {
+func TestUnreachableReplicaKeepsRelayProven(t *testing.T) {
 	now := time.Unix(0, 0)
-	order := newRelayOrder()
-	order.setCandidates([]string{"a", "b"})
-	order.answered(now, "a")
-	order.unreachable(now.Add(time.Millisecond), "a")
-	require.Equal(t, "a", order.proven())
-	order.unreachable(now.Add(2*relayFailureLife), "a")
-	require.Empty(t, order.proven())
+	selector := newRelaySelector()
+	selector.setCandidates([]string{"a", "b"})
+	selector.recordReply(now, "a")
+	selector.recordUnreachable(now.Add(time.Millisecond), "a")
+	require.Equal(t, "a", selector.proven())
+	selector.recordUnreachable(now.Add(2*relayFailureTTL), "a")
+	require.Empty(t, selector.proven())
 }
 
-func TestRoundTripFollowsAnswers(t *testing.T) {
-	var estimate roundTrip
-	require.Equal(t, timeoutUnknown, estimate.timeout())
+func TestRoundTripTimeoutFollowsSamples(t *testing.T) {
+	var estimate roundTripEstimator
+	require.Equal(t, initialTimeout, estimate.timeout())
 	for range 100 {
 		estimate.observe(2 * time.Millisecond)
 	}
-	require.Equal(t, timeoutLeast, estimate.timeout(), "never less than the least")
+	require.Equal(t, minTimeout, estimate.timeout(), "not less than the minimum")
 	for range 200 {
 		estimate.observe(40 * time.Millisecond)
 	}
 	require.InDelta(t, float64(40*time.Millisecond), float64(estimate.timeout()), float64(2*time.Millisecond))
-	for _, usual := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
+	for _, latency := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
 		for range 200 {
-			estimate.observe(usual)
+			estimate.observe(latency)
 		}
-		require.LessOrEqual(t, estimate.timeout(), timeoutSlow, "bounded")
-		require.Greater(t, estimate.timeout(), min(usual, timeoutSlow-1), "what is usual is not late")
+		require.LessOrEqual(t, estimate.timeout(), maxSlowTimeout, "bounded")
+		require.Greater(t, estimate.timeout(), min(latency, maxSlowTimeout-1), "a usual response time is not late")
 	}
 	estimate.observe(2 * time.Millisecond)
 	for range 200 {
 		estimate.observe(2 * time.Millisecond)
 		estimate.observe(200 * time.Millisecond)
 	}
-	require.Equal(t, timeoutMost, estimate.timeout(), "what varies is not awaited for longer than that")
+	require.Equal(t, maxTimeout, estimate.timeout(), "variance does not raise the timeout above the maximum")
 }
--- a/internal/quorum/relaycredit.go
+++ b/internal/quorum/relaycredit.go
@@ -1,27 +1,27 @@
 package quorum
 
 const (
-	// creditShare is the part of the requests that may also go through a relay while their own
-	// connection is up: sent twice, what is late on a full link would make it fuller.
-	creditShare = 0.1
-	// creditMost is the burst, in requests. A silent connection is replaced within two seconds;
-	// until then a gateway's turns go through relays on this credit.
-	creditMost = 150
+	// creditPerRequest is the fraction of requests that may also go through a relay while their
+	// direct connection is up. Duplicating every late request would load a saturated link further.
+	creditPerRequest = 0.1
+	// maxCredit is the burst, in requests. It covers the requests of a gateway until a silent
+	// connection is replaced, which takes up to two seconds.
+	maxCredit = 150
 )
 
-// relayCredit is a token bucket for relayed requests to replicas whose own connection is up,
-// refilled by the requests sent directly. It is a pure value.
+// relayCredit is a token bucket that limits relayed requests to replicas whose direct connection is
+// up. Requests sent directly refill it.
 type relayCredit struct {
-	// spent is how much of creditMost is used.
+	// spent is how much of maxCredit is used.
 	spent float64
 }
 
-// sent refills the bucket for one request on its own connection.
-func (c *relayCredit) sent() { c.spent = max(0, c.spent-creditShare) }
+// refill adds the credit of one request sent on a direct connection.
+func (c *relayCredit) refill() { c.spent = max(0, c.spent-creditPerRequest) }
 
-// spend takes one token, and reports whether there was one.
+// spend takes one token and reports whether there was one.
 func (c *relayCredit) spend() bool {
-	if c.spent+1 > creditMost {
+	if c.spent+1 > maxCredit {
 		return false
 	}
 	c.spent++
--- a/internal/quorum/relaycredit_test.go
+++ b/internal/quorum/relaycredit_test.go
@@ -6,21 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// While a way is slow for good, requests on it must not double.
-func TestFewRequestsGoASecondWayWhileTheirConnectionStands(t *testing.T) {
+// While a link is permanently slow, relaying must not double the number of requests.
+func TestRelayCreditLimitsDuplicateRequests(t *testing.T) {
 	const requests = 10_000
 	var credit relayCredit
-	second := 0
+	relayed := 0
 	for range requests {
-		credit.sent()
+		credit.refill()
 		if credit.spend() {
-			second++
+			relayed++
 		}
 	}
-	require.GreaterOrEqual(t, second, creditMost, "a moment without answers is bridged")
-	require.LessOrEqual(t, second, creditMost+requests/9)
-	for range creditMost * 10 {
-		credit.sent()
+	require.GreaterOrEqual(t, relayed, maxCredit, "the burst covers a short time without replies")
+	require.LessOrEqual(t, relayed, maxCredit+requests/9)
+	for range maxCredit * 10 {
+		credit.refill()
 	}
-	require.Less(t, credit.spent, float64(creditMost)/2, "it comes back")
+	require.Less(t, credit.spent, float64(maxCredit)/2, "direct requests refill the bucket")
 }
--- a/internal/quorum/relayretry.go
+++ b/internal/quorum/relayretry.go
@@ -6,19 +6,21 @@
 	"swiftbank.dev/swiftbank/internal/ledger"
 )
 
-// callerRelayPause and settleRelayPause bound the pause between two tries to reach
-// replicas that do not answer by other gateways, with a caller that waits and without one. During an outage
-// every refused turn leaves a charge to settle.
+// maxCallerRetryDelay and maxSettleRetryDelay bound the delay between two attempts to reach
+// unresponsive replicas through relays, for operations with a waiting caller and for settled
+// charges. The delay for settled charges is longer because during an outage every refused turn
+// leaves a charge to settle.
 const (
-	callerRelayPause = 400 * time.Millisecond
-	settleRelayPause = 10 * time.Second
-	// repeatAfter is how old a commit must be to be repeated on the direct connection. A replica
-	// whose disk is behind drops commits without an answer; answers take milliseconds otherwise.
-	repeatAfter = time.Second
+	maxCallerRetryDelay = 400 * time.Millisecond
+	maxSettleRetryDelay = 10 * time.Second
+	// commitResendAfter is the age from which an unanswered commit is resent on the direct
+	// connection. A replica whose disk is overloaded drops commits without a reply; otherwise
+	// replies take milliseconds.
+	commitResendAfter = time.Second
 )
 
-// responsive reports whether a replica answers on the direct connection: that stands, and
-// no answer is overdue. The caller holds the lock.
+// responsive reports whether the direct connection to a replica is up, or being opened, and no
+// reply is overdue. The caller holds the lock.
 func (c *Client) responsive(now time.Time, replica *replicaLink) bool {
 	if !replica.up {
 		return replica.opening(now)
@@ -26,76 +28,79 @@
 	return !replica.silence.Exceeds(c.timeoutOf(replica), now)
 }
 
-// timeoutOf is how long a replica may take to answer: replicas of other regions take longer.
+// timeoutOf returns how long a replica may take to reply. It is specific to the replica once that
+// has replied, because replicas of other regions take longer. The caller holds the lock.
 func (c *Client) timeoutOf(replica *replicaLink) time.Duration {
-	if replica.answers.known {
-		return replica.answers.timeout()
+	if replica.roundTrips.hasSample {
+		return replica.roundTrips.timeout()
 	}
-	return c.answers.timeout()
+	return c.roundTrips.timeout()
 }
 
-// relayRetry times the tries of one operation.
-type relayRetry struct {
-	timer       *time.Timer
-	pause, most time.Duration
+// retryTimer schedules the retries of one operation with exponential backoff.
+type retryTimer struct {
+	timer           *time.Timer
+	delay, maxDelay time.Duration
 }
 
-// newRelayRetry returns the times at which an operation goes to further voters and by other
-// gateways.
-func (c *Client) newRelayRetry(most time.Duration) *relayRetry {
+// newRetryTimer returns a timer for the retries of an operation to further voters and through
+// relays. The first delay is the estimated reply timeout of the cell.
+func (c *Client) newRetryTimer(maxDelay time.Duration) *retryTimer {
 	c.mu.Lock()
-	pause := c.answers.timeout()
+	delay := c.roundTrips.timeout()
 	c.mu.Unlock()
-	return &relayRetry{timer: time.NewTimer(pause), pause: pause, most: most}
+	return &retryTimer{timer: time.NewTimer(delay), delay: delay, maxDelay: maxDelay}
 }
 
-func (r *relayRetry) due() <-chan time.Time {
+func (r *retryTimer) due() <-chan time.Time {
 	return r.timer.C
 }
 
-// again sets the next time, at a pause that doubles.
-func (r *relayRetry) again() {
-	r.pause = min(2*r.pause, r.most)
-	r.timer.Reset(r.pause)
+// backOff doubles the delay, up to maxDelay, and restarts the timer.
+func (r *retryTimer) backOff() {
+	r.delay = min(2*r.delay, r.maxDelay)
+	r.timer.Reset(r.delay)
 }
 
-func (r *relayRetry) stop() {
+func (r *retryTimer) stop() {
 	r.timer.Stop()
 }
 
-// retry sends an operation to all voters, and again to the replicas that have not answered it: by
-// other gateways where the direct connection is not responsive, and on that connection where a
-// commit may have been dropped. Operations are idempotent: a replica may get one twice.
+// retry sends an operation to all voters and resends it to the replicas that have not answered it:
+// through relays if the direct connection is not responsive, and on the direct connection if a
+// commit may have been dropped. Operations are idempotent, so a replica may receive one twice.
 func (c *Client) retry(pending *operation) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.widen(pending)
+	c.widenFanOut(pending)
 	for _, replica := range c.replicas {
-		replica.renewIfSilent(now)
-		request, concerned := c.requestTo(replica, pending)
-		if !concerned || pending.tally.Answered(replica.node.Disk) {
+		replica.reconnectIfSilent(now)
+		request, applies := c.requestFor(replica, pending)
+		if !applies || pending.tally.Answered(replica.node.Disk) {
 			continue
 		}
-		repeatCommit(now, replica, pending, request)
+		resendCommit(now, replica, pending, request)
 		if !c.responsive(now, replica) {
-			c.retryByRelay(replica, request)
+			c.retryViaRelay(replica, request)
 		}
 	}
 }
 
-// repeatCommit sends a commit that was not answered for long once more on a connection that stands.
-// A charge that nobody settles would count at its most. The client's lock is held.
-func repeatCommit(now time.Time, replica *replicaLink, pending *operation, request ledger.Request) {
-	if request.Commit == nil || now.Sub(pending.begunAt) < repeatAfter {
+// resendCommit resends a commit on the direct connection if it has been unanswered for
+// commitResendAfter. Without it, a reservation whose commit was dropped would keep counting with
+// its full reserved amount. The client's lock is held.
+func resendCommit(now time.Time, replica *replicaLink, pending *operation, request ledger.Request) {
+	if request.Commit == nil || now.Sub(pending.startedAt) < commitResendAfter {
 		return
 	}
 	pending.resent = true
 	replica.send(request)
 }
 
-// retryByRelay sends a request to a replica by another gateway. The caller holds the lock.
-func (c *Client) retryByRelay(replica *replicaLink, request ledger.Request) {
+// retryViaRelay sends a request to a replica through a relay, if relays are in use, and logs when
+// it starts to do so. The caller holds the lock.
+func (c *Client) retryViaRelay(replica *replicaLink, request ledger.Request) {
 	if c.relays == nil {
 		return
 	}
@@ -104,10 +109,10 @@
 		c.log.Warn().Str("event", "relay_retry_begun").Str("peer", replica.node.Name).Bool("connected", replica.up).
 			Dur("timeout", c.timeoutOf(replica)).Msg("")
 	}
-	c.sendByRelay(replica, request)
+	c.sendViaRelay(replica, request)
 }
 
-// retryAll retries all operations under way.
+// retryAll retries all operations in progress.
 func (c *Client) retryAll() {
 	c.mu.Lock()
 	pending := make([]*operation, 0, len(c.operations))
@@ -120,14 +125,14 @@
 	}
 }
 
-// relayed applies a reply that came by another gateway.
-func (c *Client) relayed(reply RelayReply) {
+// handleRelayReply applies a reply that arrived through a relay.
+func (c *Client) handleRelayReply(reply RelayReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, replica := range c.replicas {
 		if replica.node.Name == reply.Replica {
-			replica.relayedAt = time.Now()
-			c.receive(replica, reply.Reply)
+			replica.lastRelayReplyAt = time.Now()
+			c.applyReply(replica, reply.Reply)
 		}
 	}
 }
--- a/internal/quorum/relayselector.go
+++ b/internal/quorum/relayselector.go
@@ -7,141 +7,144 @@
 )
 
 const (
-	// relaysUnproven is how many gateways are asked at once while none is known to
-	// reach the replicas.
-	relaysUnproven = 2
-	// relayFailureLife is how long a gateway that did not answer is asked last.
-	relayFailureLife = time.Second
+	// unprovenFanOut is how many relays a request is sent to while none is proven, that is, known
+	// to reach the replicas.
+	unprovenFanOut = 2
+	// relayFailureTTL is how long a relay that failed is tried only after the others.
+	relayFailureTTL = time.Second
 )
 
-// relayOrder decides which gateways are asked to relay. It is a pure state machine:
-// time comes in with each call.
-type relayOrder struct {
-	// candidates are the names of the other gateways, the nearest first.
+// relaySelector chooses the gateways to relay through. It does not read the clock; callers pass the
+// time in.
+type relaySelector struct {
+	// candidates are the names of the gateways that may relay, the nearest first.
 	candidates []string
 	states     map[string]*relayState
-	// turn lets unproven candidates be asked one after another; picked are those of the
-	// present turn, which began at pickedAt.
-	turn     int
-	picked   []string
-	pickedAt time.Time
+	// nextCandidate rotates through the unproven candidates. picked are the candidates of the
+	// current rotation step, chosen at pickedAt.
+	nextCandidate int
+	picked        []string
+	pickedAt      time.Time
 }
 
-// relayState is what is known of one candidate.
+// relayState is the observed state of one candidate.
 type relayState struct {
-	// answeredAt is when it last passed an answer on, failedAt when it last said that
-	// it does not reach a replica, or did not answer in time.
-	answeredAt, failedAt time.Time
-	// askedAt is when the oldest request that it has not answered was sent.
-	askedAt time.Time
+	// repliedAt is when the candidate last returned a reply of a replica. failedAt is when it last
+	// reported a replica as unreachable, did not reply in time or was disconnected.
+	repliedAt, failedAt time.Time
+	// pendingSince is when the oldest unanswered request was sent; zero if there is none.
+	pendingSince time.Time
 }
 
-func newRelayOrder() *relayOrder { return &relayOrder{states: map[string]*relayState{}} }
+func newRelaySelector() *relaySelector { return &relaySelector{states: map[string]*relayState{}} }
 
-// setCandidates replaces the other gateways, the nearest first.
-func (o *relayOrder) setCandidates(names []string) {
-	o.candidates = names
-	o.picked = nil
-	for name := range o.states {
+// setCandidates replaces the candidates. names are ordered by distance, the nearest first.
+func (s *relaySelector) setCandidates(names []string) {
+	s.candidates = names
+	s.picked = nil
+	for name := range s.states {
 		if !slices.Contains(names, name) {
-			delete(o.states, name)
+			delete(s.states, name)
 		}
 	}
 }
 
-func (o *relayOrder) state(name string) *relayState {
-	known := o.states[name]
-	if known == nil {
-		known = &relayState{}
-		o.states[name] = known
+func (s *relaySelector) state(name string) *relayState {
+	state := s.states[name]
+	if state == nil {
+		state = &relayState{}
+		s.states[name] = state
 	}
-	return known
+	return state
 }
 
-// asked notes a request to a candidate.
-func (o *relayOrder) asked(now time.Time, name string) {
-	if known := o.state(name); known.askedAt.IsZero() {
-		known.askedAt = now
+// recordRequest records a request sent to a candidate.
+func (s *relaySelector) recordRequest(now time.Time, name string) {
+	if state := s.state(name); state.pendingSince.IsZero() {
+		state.pendingSince = now
 	}
 }
 
-// answered notes a replica's answer that came by a candidate.
-func (o *relayOrder) answered(now time.Time, name string) {
-	known := o.state(name)
-	known.answeredAt, known.askedAt = now, time.Time{}
+// recordReply records a replica's reply that arrived through a candidate.
+func (s *relaySelector) recordReply(now time.Time, name string) {
+	state := s.state(name)
+	state.repliedAt, state.pendingSince = now, time.Time{}
 }
 
-// unreachable notes that a candidate does not reach a replica. That tells of the replica
-// alone if another one answered by the candidate moments ago.
-func (o *relayOrder) unreachable(now time.Time, name string) {
-	known := o.state(name)
-	if !known.answeredAt.IsZero() && now.Sub(known.answeredAt) < relayFailureLife {
-		known.askedAt = time.Time{}
+// recordUnreachable records that a candidate cannot reach a replica. If another reply arrived
+// through the candidate within relayFailureTTL, the replica is at fault and the candidate stays
+// proven.
+func (s *relaySelector) recordUnreachable(now time.Time, name string) {
+	state := s.state(name)
+	if !state.repliedAt.IsZero() && now.Sub(state.repliedAt) < relayFailureTTL {
+		state.pendingSince = time.Time{}
 		return
 	}
-	o.failed(now, name)
+	s.recordFailure(now, name)
 }
 
-// failed notes that a candidate does not reach the replicas, or cannot be reached.
-func (o *relayOrder) failed(now time.Time, name string) {
-	known := o.state(name)
-	known.failedAt, known.askedAt = now, time.Time{}
-	if slices.Contains(o.picked, name) {
-		o.picked = nil
+// recordFailure records that a candidate cannot reach the replicas or cannot be reached itself.
+func (s *relaySelector) recordFailure(now time.Time, name string) {
+	state := s.state(name)
+	state.failedAt, state.pendingSince = now, time.Time{}
+	if slices.Contains(s.picked, name) {
+		s.picked = nil
 	}
 }
 
-// pick returns the gateways to ask: the one that answered last, or several while none
-// is proven. A gateway that left a request unanswered for longer than the timeout
-// counts as failed.
-func (o *relayOrder) pick(now time.Time, timeout time.Duration) []string {
-	for name, known := range o.states {
-		if !known.askedAt.IsZero() && now.Sub(known.askedAt) > timeout {
-			o.failed(now, name)
+// pick returns the candidates to send a request to: the proven one, or unprovenFanOut others while
+// none is proven. A candidate that leaves a request unanswered for longer than the timeout counts
+// as failed.
+func (s *relaySelector) pick(now time.Time, timeout time.Duration) []string {
+	for name, state := range s.states {
+		if !state.pendingSince.IsZero() && now.Sub(state.pendingSince) > timeout {
+			s.recordFailure(now, name)
 		}
 	}
-	if best := o.proven(); best != "" {
+	if best := s.proven(); best != "" {
 		return []string{best}
 	}
-	if len(o.picked) == 0 || now.Sub(o.pickedAt) > timeout {
-		o.picked, o.pickedAt = o.unproven(now), now
+	if len(s.picked) == 0 || now.Sub(s.pickedAt) > timeout {
+		s.picked, s.pickedAt = s.unproven(now), now
 	}
-	return o.picked
+	return s.picked
 }
 
-// proven returns the candidate that answered last, if it has not failed since.
-func (o *relayOrder) proven() string {
+// proven returns the candidate with the latest reply among those that have not failed since theirs.
+// It returns "" if there is none.
+func (s *relaySelector) proven() string {
 	best := ""
-	for _, name := range o.candidates {
-		known := o.states[name]
-		if known == nil || known.answeredAt.IsZero() || !known.answeredAt.After(known.failedAt) {
+	for _, name := range s.candidates {
+		state := s.states[name]
+		if state == nil || state.repliedAt.IsZero() || !state.repliedAt.After(state.failedAt) {
 			continue
 		}
-		if best == "" || known.answeredAt.After(o.states[best].answeredAt) {
+		if best == "" || state.repliedAt.After(s.states[best].repliedAt) {
 			best = name
 		}
 	}
 	return best
 }
 
-// unproven returns the next candidates in turn. Those that failed moments ago come last.
-func (o *relayOrder) unproven(now time.Time) []string {
-	if len(o.candidates) == 0 {
+// unproven returns the next candidates in rotation. Those that failed within relayFailureTTL come
+// last.
+func (s *relaySelector) unproven(now time.Time) []string {
+	if len(s.candidates) == 0 {
 		return nil
 	}
-	start := o.turn % len(o.candidates)
-	o.turn += relaysUnproven
-	ordered := append(slices.Clone(o.candidates[start:]), o.candidates[:start]...)
+	start := s.nextCandidate % len(s.candidates)
+	s.nextCandidate += unprovenFanOut
+	ordered := append(slices.Clone(s.candidates[start:]), s.candidates[:start]...)
 	slices.SortStableFunc(ordered, func(a, b string) int {
-		return cmp.Compare(o.failedLately(now, a), o.failedLately(now, b))
+		return cmp.Compare(s.failureRank(now, a), s.failureRank(now, b))
 	})
-	return ordered[:min(relaysUnproven, len(ordered))]
+	return ordered[:min(unprovenFanOut, len(ordered))]
 }
 
-// failedLately returns 1 for a candidate that failed moments ago, else 0.
-func (o *relayOrder) failedLately(now time.Time, name string) int {
-	known := o.states[name]
-	if known != nil && !known.failedAt.IsZero() && now.Sub(known.failedAt) < relayFailureLife {
+// failureRank returns 1 for a candidate that failed within relayFailureTTL, else 0.
+func (s *relaySelector) failureRank(now time.Time, name string) int {
+	state := s.states[name]
+	if state != nil && !state.failedAt.IsZero() && now.Sub(state.failedAt) < relayFailureTTL {
 		return 1
 	}
 	return 0
--- a/internal/quorum/reserve.go
+++ b/internal/quorum/reserve.go
@@ -7,52 +7,56 @@
 	"swiftbank.dev/swiftbank/internal/ledger"
 )
 
-// Reservation is an accepted reservation.
+// Reservation is the result of Reserve: a charge that a quorum has accepted and the requested
+// history.
 type Reservation struct {
 	client    *Client
 	number    uint64
 	operation *operation
-	// OtherTurnTokens is what the program's other turns are charged, in tokens.
+	// OtherTurnTokens is the number of tokens charged to the program's other turns.
 	OtherTurnTokens int64
-	// History is the text of the turn asked for; Instance ran it last.
+	// History is the text of the requested turn and of all turns before it; Instance is the
+	// instance that ran it last.
 	History  []byte
 	Instance string
-	// Cached are the prompts that the program's other turns left at instances.
+	// Cached are the prompts that the program's turns left in the caches of instances.
 	Cached []ledger.CachedPrompt
-	// Foreign is true when the history asked for is another tenant's.
+	// Foreign is true if the requested history belongs to another tenant.
 	Foreign bool
-	// Found is false when every replica that answered lacks the history.
+	// Found is true if a replica returned the history.
 	Found bool
-	// elsewhere holds the reservations of the same charge in other regions.
-	elsewhere []*Reservation
+	// otherRegions are the reservations of the same charge in other regions.
+	otherRegions []*Reservation
 }
 
-// Reserve adds a reservation at a quorum and reads a history. Program "" reserves
-// nothing; History "" reads nothing. It returns once a quorum has accepted, though
-// not yet synced, and the history is there or found nowhere.
-func (c *Client) Reserve(ctx context.Context, asked ledger.Reserve) (*Reservation, error) {
+// Reserve records a reservation at a quorum and reads a history. An empty Program reserves nothing;
+// an empty History reads nothing. It returns once a quorum has accepted the reservation, which need
+// not be durable yet, and the history was found or is missing on all reachable replicas. It returns
+// ErrNoQuorum if the context ends first. The caller must call StopRetrying when it is done with the
+// reservation.
+func (c *Client) Reserve(ctx context.Context, reserve ledger.Reserve) (*Reservation, error) {
 	pending := &operation{
-		request:    ledger.Request{Reserve: &asked},
+		request:    ledger.Request{Reserve: &reserve},
 		votersOnly: true,
 	}
 	number := c.begin(pending)
 	reservation := &Reservation{client: c, number: number, operation: pending}
 	timeout := time.NewTimer(c.historyTimeout(pending))
 	defer timeout.Stop()
-	retry := c.newRelayRetry(callerRelayPause)
+	retry := c.newRetryTimer(maxCallerRetryDelay)
 	defer retry.stop()
 	for {
-		if c.settled(reservation, asked) {
+		if c.fillIfComplete(reservation, reserve) {
 			return reservation, nil
 		}
 		select {
 		case <-pending.changed:
 		case <-timeout.C:
-			c.askOneMore(pending)
+			c.handleHistoryTimeout(pending)
 			timeout.Reset(c.historyTimeout(pending))
 		case <-retry.due():
 			c.retry(pending)
-			retry.again()
+			retry.backOff()
 		case <-ctx.Done():
 			c.end(number)
 			return nil, ErrNoQuorum
@@ -60,19 +64,19 @@
 	}
 }
 
-// settled reports whether the reservation is complete, and fills it in.
-func (c *Client) settled(reservation *Reservation, asked ledger.Reserve) bool {
+// fillIfComplete fills in the reservation if it is complete and reports whether it is.
+func (c *Client) fillIfComplete(reservation *Reservation, reserve ledger.Reserve) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pending := reservation.operation
-	known := asked.History == "" || pending.tally.Found || pending.tally.Foreign || c.allMissing(pending)
-	if !known {
-		c.askWhereMissing(pending)
+	historyResolved := reserve.History == "" || pending.tally.Found || pending.tally.Foreign || c.historyMissingEverywhere(pending)
+	if !historyResolved {
+		c.askNextIfMissing(pending)
 	}
-	if !known || asked.Program != "" && !pending.tally.Accepted(c.set) {
+	if !historyResolved || reserve.Program != "" && !pending.tally.Accepted(c.set) {
 		return false
 	}
-	reservation.OtherTurnTokens = pending.tally.OtherTurnTokens(asked.Charge.Turn)
+	reservation.OtherTurnTokens = pending.tally.OtherTurnTokens(reserve.Charge.Turn)
 	reservation.Foreign = pending.tally.Foreign
 	reservation.Found = pending.tally.Found
 	reservation.History = pending.tally.History
@@ -81,39 +85,40 @@
 	return true
 }
 
-// allMissing reports whether all connected replicas, and all that answered by another
-// gateway, said that they lack the history.
-func (c *Client) allMissing(pending *operation) bool {
-	asked := 0
+// historyMissingEverywhere reports whether all replicas that are connected, being connected or have
+// replied through a relay lack the history. The caller holds the lock.
+func (c *Client) historyMissingEverywhere(pending *operation) bool {
+	reachable := 0
 	for _, replica := range c.replicas {
 		missing := pending.tally.missing[replica.node.Disk]
 		if !replica.up && !replica.opening(time.Now()) && !missing {
 			continue
 		}
-		asked++
+		reachable++
 		if !missing {
 			return false
 		}
 	}
-	return asked > 0
+	return reachable > 0
 }
 
-// Durable waits until the reservation is on the disks of a quorum, and on at least so many
-// disks, in each region where it was made.
+// Durable waits until the reservation is durable on a quorum and on at least copies disks in each
+// region where it was made. It returns ErrNoQuorum if the context ends first.
 func (r *Reservation) Durable(ctx context.Context, copies int) error {
-	for _, other := range r.elsewhere {
+	for _, other := range r.otherRegions {
 		if err := other.Durable(ctx, copies); err != nil {
 			return err
 		}
 	}
-	r.client.askFor(r.operation, copies)
+	r.client.ensureFanOut(r.operation, copies)
 	return r.client.await(ctx, r.operation, func() bool { return r.operation.tally.DurableWithCopies(r.client.set, copies) })
 }
 
-// StopRetrying stops repeating the reservation to replicas that were out of reach.
+// StopRetrying ends the operation, so that the reservation is no longer resent to replicas that
+// were unreachable.
 func (r *Reservation) StopRetrying() {
 	r.client.end(r.number)
-	for _, other := range r.elsewhere {
+	for _, other := range r.otherRegions {
 		other.StopRetrying()
 	}
 }
--- a/internal/quorum/tally.go
+++ b/internal/quorum/tally.go
@@ -1,5 +1,6 @@
-// Package quorum is a gateway's side of the replicas: it sends each reservation
-// and each finished turn to all of them and says when enough have answered.
+// Package quorum is the gateway's client for the replicas that store turns and charges. It sends
+// reservations and finished turns to the replicas of a cell and reports when a quorum has
+// acknowledged them.
 package quorum
 
 import (
@@ -7,21 +8,23 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// Tally counts the replies to one request. It is a pure value without a clock;
-// replies may come twice and in any order.
+// Tally collects the replies to one request. Replies may arrive more than once and in any order. It
+// does not read the clock.
 type Tally struct {
-	// accepted and durable hold the disks that said so, with the epoch they said it in.
+	// accepted and durable map the disks that accepted the request, and those that hold it durably,
+	// to the epochs of their replies.
 	accepted map[string]uint64
 	durable  map[string]uint64
-	// charges is the union of the program's charges in all accepted replies.
+	// charges is the union of the program's charges in all replies.
 	charges map[string]ledger.Charge
-	// History of the turn asked for, once a replica had it.
+	// Found is set once a replica returned the requested history; History is its text and
+	// Instance the instance that ran the turn last.
 	Found    bool
 	History  []byte
 	Instance string
-	// Foreign is set once a replica said that the turn asked for is another tenant's.
+	// Foreign is set once a replica replied that the requested turn belongs to another tenant.
 	Foreign bool
-	// missing holds the disks that do not have the history.
+	// missing holds the disks that lack the history.
 	missing map[string]bool
 }
 
@@ -33,7 +36,7 @@
 	}
 }
 
-// Add applies one reply. A stale reply counts for nothing.
+// Add applies one reply. Stale replies are ignored.
 func (t *Tally) Add(reply ledger.Reply) {
 	if reply.Stale != nil {
 		return
@@ -63,40 +66,40 @@
 	}
 }
 
-// Accepted reports whether a quorum of the set accepted the reservation.
+// Accepted reports whether a quorum of the set has accepted the reservation.
 func (t *Tally) Accepted(set replicaset.Set) bool {
-	return len(set.Voters) > 0 && count(t.accepted, set) >= set.Quorum()
+	return len(set.Voters) > 0 && countVoters(t.accepted, set) >= set.Quorum()
 }
 
-// Durable reports whether the reservation is on the disks of a quorum of the set.
+// Durable reports whether the reservation is durable on a quorum of the set.
 func (t *Tally) Durable(set replicaset.Set) bool {
-	return len(set.Voters) > 0 && count(t.durable, set) >= set.Quorum()
+	return len(set.Voters) > 0 && countVoters(t.durable, set) >= set.Quorum()
 }
 
-// DurableWithCopies reports whether the reservation is on the disks of a quorum, and on at least so
-// many disks, as far as the set has them: a small quorum alone may be lost with the number of
-// disks that is to be borne.
+// DurableWithCopies reports whether the reservation is durable on a quorum of the set and on at
+// least copies voters, or on all voters if the set is smaller. A small quorum alone may be lost
+// together with the number of disks whose loss must be tolerated.
 func (t *Tally) DurableWithCopies(set replicaset.Set, copies int) bool {
-	return len(set.Voters) > 0 && count(t.durable, set) >= max(set.Quorum(), min(copies, len(set.Voters)))
+	return len(set.Voters) > 0 && countVoters(t.durable, set) >= max(set.Quorum(), min(copies, len(set.Voters)))
 }
 
-// Answered reports whether the disk has said all that the request waits for: a
-// reservation is answered for good once it is durable.
+// Answered reports whether the disk has sent its final reply. The final reply to a reservation is
+// the one that reports it as durable.
 func (t *Tally) Answered(disk string) bool {
 	_, durable := t.durable[disk]
 	return durable
 }
 
-// DurableCopies returns how many disks hold the request durably, voters or not.
+// DurableCopies returns the number of disks, voters or not, that hold the request durably.
 func (t *Tally) DurableCopies() int { return len(t.durable) }
 
-// OtherTurnTokens returns the tokens charged to the program by all turns but one: final
-// charges as they are, reservations at their most.
+// OtherTurnTokens returns the tokens charged to the program by all turns except one. Final charges
+// count with the tokens used, reservations with the full reserved amount.
 func (t *Tally) OtherTurnTokens(turn string) int64 {
-	return sumOthers(turn, t.charges)
+	return sumOtherTokens(turn, t.charges)
 }
 
-// Cached returns the prompts that the program's turns left in the memory of instances.
+// Cached returns the prompts that the program's turns left in the caches of instances.
 func (t *Tally) Cached() []ledger.CachedPrompt {
 	var cached []ledger.CachedPrompt
 	for _, charge := range t.charges {
@@ -107,12 +110,13 @@
 	return cached
 }
 
-// count returns the voters that answered under the set's epoch. An answer under an
-// older one is void: the replica may have answered before the set changed.
-func count(answers map[string]uint64, set replicaset.Set) int {
+// countVoters returns the number of voters that replied under the set's epoch or a newer one.
+// Replies under older epochs do not count, because the replica may have sent them before the set
+// changed.
+func countVoters(epochs map[string]uint64, set replicaset.Set) int {
 	voters := 0
 	for _, voter := range set.Voters {
-		if epoch, answered := answers[voter.Disk]; answered && epoch >= set.Epoch {
+		if epoch, answered := epochs[voter.Disk]; answered && epoch >= set.Epoch {
 			voters++
 		}
 	}
