--- a/internal/command/replica.go
+++ b/internal/command/replica.go
@@ -73,7 +73,7 @@
 		Node: config.Node, Zone: config.Zone, Address: config.PeerAddress, Advertised: config.Advertised(), Feed: config.CopyAddress,
 		DataFolder: config.DataFolder, DiskMB: config.DiskMB, MemoryMB: config.MemoryMB, Tolerate: config.TolerateMachines,
 		Places: config.CellPlaces(), Registry: store,
-		Known: knowledge.Member, Retirements: store, Log: process.log, Metrics: metrics, Traffic: sent, Quota: config.Quota(),
+		LookupCached: knowledge.Member, Retirements: store, Log: process.log, Metrics: metrics, Traffic: sent, Quota: config.Quota(),
 	})
 	if err != nil {
 		process.log.Error().Str("event", "start_failed").Err(err).Msg("")
@@ -150,5 +150,5 @@
 }
 
 func (s *startingReplica) knowledgeChanged(status feed.Status) {
-	s.tell(newsOfFreshness, func(server *replica.Server) { server.KnowledgeChanged(status) })
+	s.tell(newsOfFreshness, func(server *replica.Server) { server.FeedStatusChanged(status) })
 }
--- a/internal/gateway/reservation_test.go
+++ b/internal/gateway/reservation_test.go
@@ -25,7 +25,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		output := state.Step(time.Now(), request)
-		for _, reply := range append(output.Now, output.Durable...) {
+		for _, reply := range append(output.Immediate, output.AfterSync...) {
 			from.Send(reply)
 		}
 	})
--- a/internal/ledger/handover.go
+++ b/internal/ledger/handover.go
@@ -1,7 +1,7 @@
 package ledger
 
-// HandoverPlace is how far the charges of a replica were handed over.
-type HandoverPlace struct {
+// HandoverPosition is how far the charges of a replica were handed over.
+type HandoverPosition struct {
 	// Boot tells one run of the replica's process from others; positions are only comparable
 	// within a run.
 	Boot string
@@ -12,14 +12,14 @@
 // Handover is what a reply to an Adopt says of the charges in it.
 type Handover struct {
 	// After and Next are the places before and behind the reply's charges.
-	After, Next HandoverPlace
+	After, Next HandoverPosition
 	// More is set when there are further charges behind Next.
 	More bool
 }
 
-// Follow returns how far the charges are known once the reply is merged, and whether that
+// Advance returns how far the charges are known once the reply is merged, and whether that
 // is all of them. A reply that begins behind the known place has a gap before it.
-func (p HandoverPlace) Follow(reply Handover) (next HandoverPlace, complete bool) {
+func (p HandoverPosition) Advance(reply Handover) (next HandoverPosition, complete bool) {
 	if reply.After.Boot != reply.Next.Boot || reply.After.Boot == p.Boot && reply.After.Position > p.Position {
 		return p, false
 	}
@@ -67,9 +67,9 @@
 }
 
 // handOver returns at most so many charges behind a place.
-func (s *State) handOver(after HandoverPlace, most int) ([]ProgramCharge, Handover) {
+func (s *State) handOver(after HandoverPosition, most int) ([]ProgramCharge, Handover) {
 	if after.Boot != s.boot {
-		after = HandoverPlace{Boot: s.boot}
+		after = HandoverPosition{Boot: s.boot}
 	}
 	next := max(0, after.Position-s.chargeOrder.base)
 	var charges []ProgramCharge
@@ -78,7 +78,7 @@
 			charges = append(charges, charge)
 		}
 	}
-	end := HandoverPlace{Boot: s.boot, Position: s.chargeOrder.base + next}
+	end := HandoverPosition{Boot: s.boot, Position: s.chargeOrder.base + next}
 	return charges, Handover{After: after, Next: end, More: next < len(s.chargeOrder.changed)}
 }
 
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -13,7 +13,7 @@
 // reader is a replica that reads another one's charges.
 type reader struct {
 	state *State
-	place HandoverPlace
+	place HandoverPosition
 	// read counts the charges that came, pages the replies.
 	read, pages int
 }
@@ -22,12 +22,12 @@
 func (r *reader) readAll(t *testing.T, from *State, epoch uint64, most int) {
 	for complete := false; !complete; {
 		output := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: epoch}, Charges: most, After: r.place}})
-		reply := output.Durable[0]
+		reply := output.AfterSync[0]
 		require.LessOrEqual(t, len(reply.Charges), most)
 		r.state.MergeCharges(start, reply.Charges)
 		r.read += len(reply.Charges)
 		r.pages++
-		r.place, complete = r.place.Follow(*reply.Handover)
+		r.place, complete = r.place.Advance(*reply.Handover)
 	}
 	require.Equal(t, withoutHints(from.allCharges()), withoutHints(r.state.allCharges()))
 }
@@ -86,10 +86,10 @@
 func TestAReplicaOfTheVersionBeforeGetsAllCharges(t *testing.T) {
 	from := NewState("old", "life")
 	addCharges(from, 0, 100, true)
-	reply := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 1}, WithCharges: true}}).Durable[0]
+	reply := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 1}, WithCharges: true}}).AfterSync[0]
 	require.Len(t, reply.Charges, 100)
 	require.Nil(t, reply.Handover)
-	require.Empty(t, from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 2}}}).Durable[0].Charges)
+	require.Empty(t, from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 2}}}).AfterSync[0].Charges)
 }
 
 func TestAFetchIsCutBeforeItIsLarge(t *testing.T) {
@@ -101,10 +101,10 @@
 		ids = append(ids, turn.ID)
 		s.StoreTurns(start, []Turn{turn})
 	}
-	reply := s.Step(start, Request{Fetch: &Fetch{IDs: ids}}).Now[0]
+	reply := s.Step(start, Request{Fetch: &Fetch{IDs: ids}}).Immediate[0]
 	require.True(t, reply.Cut)
 	require.LessOrEqual(t, len(reply.Turns)*size, fetchBytes+2*size)
-	rest := s.Step(start, Request{Fetch: &Fetch{IDs: ids[turns-3:]}}).Now[0]
+	rest := s.Step(start, Request{Fetch: &Fetch{IDs: ids[turns-3:]}}).Immediate[0]
 	require.False(t, rest.Cut)
 	require.Len(t, rest.Turns, 3)
 }
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -52,7 +52,7 @@
 	if start < end {
 		reply.Inventory.IDs = slices.Clone(s.order[start:end])
 	}
-	return Output{Now: []Reply{reply}}
+	return Output{Immediate: []Reply{reply}}
 }
 
 func (s *State) fetch(request Request) Output {
@@ -70,5 +70,5 @@
 		size += stored.turn.Bytes()
 		reply.Turns = append(reply.Turns, stored.turn)
 	}
-	return Output{Now: []Reply{reply}}
+	return Output{Immediate: []Reply{reply}}
 }
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -147,7 +147,7 @@
 	// ask with: one that joined without the others' charges would hand budgets out again.
 	WithCharges bool
 	// After is how far this replica's charges are known to the one that asks.
-	After HandoverPlace
+	After HandoverPosition
 }
 
 // Inventory asks which turns a replica has stored since a position.
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -81,9 +81,9 @@
 // Output is what the owner must do after a step: send the replies of Now at once,
 // append and sync the records, then send the replies of Durable.
 type Output struct {
-	Now     []Reply
-	Records []Record
-	Durable []Reply
+	Immediate []Reply
+	Records   []Record
+	AfterSync []Reply
 }
 
 // Step applies one request.
@@ -115,7 +115,7 @@
 	if request.Epoch < s.set.Epoch {
 		set := s.set
 		reply.Stale = &set
-		return Output{Now: []Reply{reply}}
+		return Output{Immediate: []Reply{reply}}
 	}
 	asked := request.Reserve
 	answer := &ReserveReply{}
@@ -127,7 +127,7 @@
 		answer.Charges = s.chargesOf(asked.Program)
 		durable := s.reply(request.Number)
 		durable.Durable = true
-		output.Durable = []Reply{durable}
+		output.AfterSync = []Reply{durable}
 	}
 	switch stored := s.turns[asked.History]; {
 	case asked.History == "":
@@ -137,7 +137,7 @@
 		answer.History, answer.Instance, answer.Found = s.history(now, asked.History)
 		answer.Missing = !answer.Found
 	}
-	output.Now = []Reply{reply}
+	output.Immediate = []Reply{reply}
 	return output
 }
 
@@ -166,10 +166,10 @@
 	return []Record{{Charge: &added}}
 }
 
-// Merge returns the charge that holds after another one became known, and whether
+// MergeCharge returns the charge that holds after another one became known, and whether
 // it differs from the known one. A final charge replaces a reservation; of two
 // final ones the larger holds.
-func Merge(known map[string]Charge, charge Charge) (Charge, bool) {
+func MergeCharge(known map[string]Charge, charge Charge) (Charge, bool) {
 	old, exists := known[charge.Turn]
 	if !exists {
 		return charge, true
@@ -260,7 +260,7 @@
 	}
 	reply := s.reply(request.Number)
 	reply.Durable = true
-	output.Durable = []Reply{reply}
+	output.AfterSync = []Reply{reply}
 	return output
 }
 
@@ -296,7 +296,7 @@
 	case request.Adopt.WithCharges:
 		reply.Charges = s.allCharges()
 	}
-	output.Durable = []Reply{reply}
+	output.AfterSync = []Reply{reply}
 	return output
 }
 
@@ -330,7 +330,7 @@
 			reply.Turns = append(reply.Turns, stored.turn)
 		}
 	}
-	return Output{Now: []Reply{reply}}
+	return Output{Immediate: []Reply{reply}}
 }
 
 // Purge drops turns and programs whose retention is over.
--- a/internal/ledger/state_test.go
+++ b/internal/ledger/state_test.go
@@ -22,7 +22,7 @@
 }
 
 func history(s *State, now time.Time, id string) *ReserveReply {
-	return s.Step(now, Request{Epoch: s.Set().Epoch, Reserve: &Reserve{History: id}}).Now[0].Reserve
+	return s.Step(now, Request{Epoch: s.Set().Epoch, Reserve: &Reserve{History: id}}).Immediate[0].Reserve
 }
 
 func TestHistoryIsTheChainOldestFirst(t *testing.T) {
@@ -78,7 +78,7 @@
 		merge := func(order []Charge) map[string]Charge {
 			known := map[string]Charge{}
 			for _, charge := range order {
-				if merged, changed := Merge(known, charge); changed {
+				if merged, changed := MergeCharge(known, charge); changed {
 					known[charge.Turn] = merged
 				}
 			}
@@ -96,17 +96,17 @@
 	set := replicaset.Set{Epoch: 4, Voters: []replicaset.Voter{{Node: "n", Disk: "disk"}}}
 	adopted := s.Step(start, Request{Adopt: &Adopt{Set: set}})
 	require.Len(t, adopted.Records, 1)
-	require.Empty(t, adopted.Now, "an adoption counts only once it is durable")
+	require.Empty(t, adopted.Immediate, "an adoption counts only once it is durable")
 	reserve := Request{Epoch: 3, Reserve: &Reserve{Program: "p", Charge: Charge{Turn: "t", Tokens: 5}}}
 	refused := s.Step(start, reserve)
-	require.Equal(t, uint64(4), refused.Now[0].Stale.Epoch)
+	require.Equal(t, uint64(4), refused.Immediate[0].Stale.Epoch)
 	require.Empty(t, refused.Records)
 	require.Empty(t, s.chargesOf("p"))
 	reserve.Epoch = 4
 	accepted := s.Step(start, reserve)
-	require.True(t, accepted.Now[0].Reserve.Recorded)
-	require.False(t, accepted.Now[0].Durable)
-	require.True(t, accepted.Durable[0].Durable)
+	require.True(t, accepted.Immediate[0].Reserve.Recorded)
+	require.False(t, accepted.Immediate[0].Durable)
+	require.True(t, accepted.AfterSync[0].Durable)
 }
 
 func TestReplayOfTheSnapshotRebuildsTheState(t *testing.T) {
@@ -130,7 +130,7 @@
 	commit(s, start, turnNamed("a", ""))
 	commit(s, start, turnNamed("b", "a"))
 	ask := func(boot string, after int) *InventoryReply {
-		return s.Step(start, Request{Inventory: &Inventory{Boot: boot, After: after, From: "reader"}}).Now[0].Inventory
+		return s.Step(start, Request{Inventory: &Inventory{Boot: boot, After: after, From: "reader"}}).Immediate[0].Inventory
 	}
 	all := ask("", 0)
 	require.Equal(t, []string{"a", "b"}, all.IDs)
@@ -166,7 +166,7 @@
 	turn.Tenant = "riga"
 	commit(s, start, turn)
 	ask := func(tenant string) *ReserveReply {
-		return s.Step(start, Request{Reserve: &Reserve{History: "a", Tenant: tenant}}).Now[0].Reserve
+		return s.Step(start, Request{Reserve: &Reserve{History: "a", Tenant: tenant}}).Immediate[0].Reserve
 	}
 	require.True(t, ask("riga").Found)
 	for _, other := range []string{"luzon", ""} {
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -68,9 +68,9 @@
 		return
 	}
 	output := r.state.Step(time.Now(), request)
-	replies := output.Now
+	replies := output.Immediate
 	if !r.holdDurable {
-		replies = append(replies, output.Durable...)
+		replies = append(replies, output.AfterSync...)
 	}
 	for _, reply := range replies {
 		from.Send(reply)
@@ -88,7 +88,7 @@
 	probe := ledger.Charge{Turn: "probe", Final: true}
 	output := r.step(ledger.Request{Epoch: 1 << 40, Reserve: &ledger.Reserve{Program: program, Charge: probe}})
 	var charges []ledger.Charge
-	for _, charge := range output.Now[0].Reserve.Charges {
+	for _, charge := range output.Immediate[0].Reserve.Charges {
 		if charge.Turn != "probe" {
 			charges = append(charges, charge)
 		}
@@ -296,6 +296,6 @@
 
 	commit := ledger.Commit{Turn: &ledger.Turn{ID: "t3", Previous: "t2", Retention: time.Minute}, Ancestors: chain}
 	require.NoError(t, cells.ForProgram(program, place.Homes{}).Commit(contextWithTimeout(t, 20*time.Second), commit, 1))
-	reply := own.step(ledger.Request{Chain: &ledger.Chain{ID: "t3"}}).Now[0]
+	reply := own.step(ledger.Request{Chain: &ledger.Chain{ID: "t3"}}).Immediate[0]
 	require.Len(t, reply.Turns, 3, "the ancestors are stored in the program's own cell")
 }
--- a/internal/quorum/escrow.go
+++ b/internal/quorum/escrow.go
@@ -64,7 +64,7 @@
 	union := map[string]ledger.Charge{}
 	for _, charges := range cells {
 		for _, charge := range charges {
-			if merged, changed := ledger.Merge(union, charge); changed {
+			if merged, changed := ledger.MergeCharge(union, charge); changed {
 				union[charge.Turn] = merged
 			}
 		}
--- a/internal/quorum/escrow_test.go
+++ b/internal/quorum/escrow_test.go
@@ -103,7 +103,7 @@
 	cell := m.cells[message.region]
 	foreign := message.region != m.turns[message.turn].region
 	if !foreign || !m.guards.readOnly {
-		if merged, changed := ledger.Merge(cell, message.charge); changed {
+		if merged, changed := ledger.MergeCharge(cell, message.charge); changed {
 			cell[message.charge.Turn] = merged
 		}
 	}
--- a/internal/quorum/lostdisks_test.go
+++ b/internal/quorum/lostdisks_test.go
@@ -45,7 +45,7 @@
 // queries one more voter.
 func (r *recoveringCell) step(name string) {
 	own := replicaset.Voter{Node: name, Disk: r.states[name].Disk()}
-	view := replicaset.View{Own: own, Set: r.set, Tolerate: 2, Disks: map[string]string{}, Adopted: map[string]bool{}}
+	view := replicaset.View{Self: own, Set: r.set, Tolerate: 2, Disks: map[string]string{}, Adopted: map[string]bool{}}
 	for node, state := range r.states {
 		view.Disks[node] = state.Disk()
 	}
@@ -68,7 +68,7 @@
 	}
 	now := time.Unix(1001, 0)
 	output := state.Step(now, ledger.Request{Adopt: &ledger.Adopt{Set: r.set, WithCharges: true}})
-	r.states[name].MergeCharges(now, output.Durable[0].Charges)
+	r.states[name].MergeCharges(now, output.AfterSync[0].Charges)
 	r.confirmedEpochs[name][voter.Disk] = r.set.Epoch
 }
 
@@ -77,7 +77,7 @@
 	count := 0
 	for _, voter := range r.set.Voters {
 		output := r.states[voter.Node].Step(time.Unix(1002, 0), ledger.Request{Adopt: &ledger.Adopt{Set: r.set, WithCharges: true}})
-		if len(output.Durable[0].Charges) > 0 {
+		if len(output.AfterSync[0].Charges) > 0 {
 			count++
 		}
 	}
--- a/internal/quorum/model_test.go
+++ b/internal/quorum/model_test.go
@@ -50,7 +50,7 @@
 	adopted map[string]uint64
 	// positions are the handover positions reached in the charges of other replicas since the last
 	// restart.
-	positions map[string]ledger.HandoverPlace
+	positions map[string]ledger.HandoverPosition
 }
 
 type modelOperation struct {
@@ -97,7 +97,7 @@
 	for i := range size {
 		name := fmt.Sprintf("r%d", i)
 		m.names = append(m.names, name)
-		replica := &modelReplica{node: name, adopted: map[string]uint64{}, positions: map[string]ledger.HandoverPlace{}}
+		replica := &modelReplica{node: name, adopted: map[string]uint64{}, positions: map[string]ledger.HandoverPosition{}}
 		m.replicas[name] = replica
 		m.replaceDisk(replica)
 		m.set.Voters = append(m.set.Voters, replicaset.Voter{Node: name, Disk: replica.state.Disk()})
@@ -122,17 +122,17 @@
 	}
 	r.state = ledger.NewState(disk, disk)
 	r.synced, r.unsynced, r.pendingReplies = []ledger.Record{{Disk: disk}}, nil, nil
-	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPlace{}
+	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPosition{}
 	r.incarnation++
 }
 
 // apply queues the records and replies of a step.
 func (m *model) apply(r *modelReplica, output ledger.Output, to modelMessage) {
-	for _, reply := range output.Now {
+	for _, reply := range output.Immediate {
 		m.reply(r, reply, to)
 	}
 	r.unsynced = append(r.unsynced, output.Records...)
-	for _, reply := range output.Durable {
+	for _, reply := range output.AfterSync {
 		message := to
 		message.reply = &reply
 		r.pendingReplies = append(r.pendingReplies, message)
@@ -159,7 +159,7 @@
 		r.state.Replay(m.now, record)
 	}
 	r.unsynced, r.pendingReplies = nil, nil
-	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPlace{}
+	r.adopted, r.positions = map[string]uint64{}, map[string]ledger.HandoverPosition{}
 }
 
 func (m *model) begin() {
@@ -211,7 +211,7 @@
 	}
 	requester.unsynced = append(requester.unsynced, requester.state.MergeCharges(m.now, message.reply.Charges)...)
 	m.sync(requester)
-	position, complete := requester.positions[message.reply.Disk].Follow(*message.reply.Handover)
+	position, complete := requester.positions[message.reply.Disk].Advance(*message.reply.Handover)
 	requester.positions[message.reply.Disk] = position
 	if complete || m.guards.joinWithPartialCharges {
 		requester.adopted[message.reply.Disk] = max(requester.adopted[message.reply.Disk], message.reply.Epoch)
@@ -267,7 +267,7 @@
 func (m *model) changeMembership() {
 	r := m.replicas[m.names[m.random.IntN(len(m.names))]]
 	own := replicaset.Voter{Node: r.node, Disk: r.state.Disk()}
-	view := replicaset.View{Own: own, Set: m.set, Disks: map[string]string{}, Adopted: map[string]bool{}, Tolerate: 1}
+	view := replicaset.View{Self: own, Set: m.set, Disks: map[string]string{}, Adopted: map[string]bool{}, Tolerate: 1}
 	for _, name := range m.names {
 		view.Disks[name] = m.replicas[name].state.Disk()
 	}
--- a/internal/quorum/tally.go
+++ b/internal/quorum/tally.go
@@ -52,7 +52,7 @@
 		t.accepted[reply.Disk] = reply.Epoch
 	}
 	for _, charge := range reply.Reserve.Charges {
-		if merged, changed := ledger.Merge(t.charges, charge); changed {
+		if merged, changed := ledger.MergeCharge(t.charges, charge); changed {
 			t.charges[charge.Turn] = merged
 		}
 	}
--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -71,7 +71,7 @@
 // noticePause forgets that the news are fresh when this process stood still for longer than others
 // wait for a voter: what it believed is from before.
 func (s *Server) noticePause(now time.Time) {
-	if !s.tickedAt.IsZero() && now.Sub(s.tickedAt) > replicaset.UnreachableLimit {
+	if !s.tickedAt.IsZero() && now.Sub(s.tickedAt) > replicaset.UnreachableTimeout {
 		s.members.newsFresh = false
 	}
 }
@@ -82,7 +82,7 @@
 	heard := 0
 	for _, voter := range set.Voters {
 		peer := s.peers[voter.Node]
-		isHeard := peer != nil && peer.disk == voter.Disk && now.Sub(peer.heardAt) <= replicaset.UnreachableLimit
+		isHeard := peer != nil && peer.disk == voter.Disk && now.Sub(peer.heardAt) <= replicaset.UnreachableTimeout
 		if isHeard || voter.Disk == s.state.Disk() {
 			heard++
 		}
@@ -90,8 +90,8 @@
 	return heard >= set.Quorum()
 }
 
-// KnowledgeChanged says whether the news of the registry is as good as the store's own word.
-func (s *Server) KnowledgeChanged(status feed.Status) {
+// FeedStatusChanged says whether the news of the registry is as good as the store's own word.
+func (s *Server) FeedStatusChanged(status feed.Status) {
 	s.post(func() { s.members.newsFresh = status.Fresh() })
 }
 
--- a/internal/replica/lend_test.go
+++ b/internal/replica/lend_test.go
@@ -89,11 +89,11 @@
 	require.False(t, lends(), "it has heard of nobody yet")
 	s.peers["a"] = &peerState{disk: "disk-a", heardAt: time.Now()}
 	require.True(t, lends(), "two of three voters are a quorum")
-	s.peers["a"].heardAt = time.Now().Add(-replicaset.UnreachableLimit)
+	s.peers["a"].heardAt = time.Now().Add(-replicaset.UnreachableTimeout)
 	require.False(t, lends(), "the others may have taken it out")
 	s.members.newsFresh = true
 	require.True(t, lends(), "the store would tell of a newer set")
-	s.tickedAt = time.Now().Add(-replicaset.UnreachableLimit - time.Second)
+	s.tickedAt = time.Now().Add(-replicaset.UnreachableTimeout - time.Second)
 	require.False(t, lends(), "it stood still meanwhile")
 	s.peers["b"] = &peerState{disk: "another disk", heardAt: time.Now()}
 	require.False(t, lends(), "a machine that lost its disk is no voter")
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -106,7 +106,7 @@
 	}
 	s.members.set = set
 	s.log.Info().Str("event", "set_changed").Int("cell", s.members.cell).Uint64("epoch", set.Epoch).
-		Int("voters", len(set.Voters)).Int("losses_borne", set.LossesBorne()).Bool("voter", set.Has(s.state.Disk())).Msg("")
+		Int("voters", len(set.Voters)).Int("losses_borne", set.FaultTolerance()).Bool("voter", set.Has(s.state.Disk())).Msg("")
 	output := s.state.Step(time.Now(), ledger.Request{Adopt: &ledger.Adopt{Set: set}})
 	s.persist(output.Records, nil)
 }
@@ -160,7 +160,7 @@
 	s.log.Info().Str("event", "layout_founded").Int("replicas", len(nodes)).Int("cells", layout.Cells).Msg("")
 	for cell, set := range layout.Founding {
 		s.log.Info().Str("event", "cell_founded").Int("cell", cell).Str("region", layout.Region(cell)).Int("voters", len(set.Voters)).
-			Int("losses_borne", set.LossesBorne()).Int("losses_asked", s.options.Tolerate).Msg("")
+			Int("losses_borne", set.FaultTolerance()).Int("losses_asked", s.options.Tolerate).Msg("")
 	}
 	s.write("layout", func(ctx context.Context) error {
 		return s.options.Registry.Create(ctx, replicaset.LayoutName, layout.Encode())
@@ -180,9 +180,9 @@
 
 func (s *Server) view(now time.Time) replicaset.View {
 	view := replicaset.View{
-		Own: replicaset.Voter{Node: s.options.Node, Disk: s.state.Disk()},
-		Set: s.members.set, Leaving: s.members.leaving, Tolerate: s.options.Tolerate,
-		Disks: map[string]string{s.options.Node: s.state.Disk()}, Adopted: map[string]bool{}, Unreachable: map[string]time.Duration{}, HeardBy: map[string]int{},
+		Self: replicaset.Voter{Node: s.options.Node, Disk: s.state.Disk()},
+		Set:  s.members.set, Leaving: s.members.leaving, Tolerate: s.options.Tolerate,
+		Disks: map[string]string{s.options.Node: s.state.Disk()}, Adopted: map[string]bool{}, Unreachable: map[string]time.Duration{}, ReachableFrom: map[string]int{},
 	}
 	view.Adopted[s.state.Disk()] = s.state.Set().Epoch >= s.members.set.Epoch
 	for name, node := range s.members.read.Replicas {
@@ -208,7 +208,7 @@
 	}
 	for _, other := range s.members.set.Voters {
 		if peer != nil && other != voter && !slices.Contains(peer.silentVoters, other.Disk) {
-			view.HeardBy[other.Disk]++
+			view.ReachableFrom[other.Disk]++
 		}
 	}
 }
@@ -232,7 +232,7 @@
 func (s *Server) silentVoters(now time.Time) []string {
 	var silent []string
 	for _, voter := range s.members.set.Voters {
-		if s.unreachableFor(now, voter) >= replicaset.UnreachableLimit {
+		if s.unreachableFor(now, voter) >= replicaset.UnreachableTimeout {
 			silent = append(silent, voter.Disk)
 		}
 	}
@@ -268,7 +268,7 @@
 			if readErr != nil || s.members.cell == replicaset.NoCell {
 				return
 			}
-			if set, err := replicaset.Decode(object.Value); err == nil {
+			if set, err := replicaset.DecodeSet(object.Value); err == nil {
 				s.readSet(set, object.Revision)
 			}
 		})
@@ -321,7 +321,7 @@
 	ctx, cancel := context.WithCancel(s.context)
 	s.members.registration = cancel
 	own := s.own()
-	go replicaset.Register(ctx, s.options.Registry, own, s.options.Known, func(err error) {
+	go replicaset.Register(ctx, s.options.Registry, own, s.options.LookupCached, func(err error) {
 		s.log.Warn().Str("event", "register_failed").Err(err).Msg("")
 	})
 }
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -51,7 +51,7 @@
 	// adopted is the epoch it confirmed durably while all its charges were merged here; place
 	// is how far they are, adoptAt when it was asked for more, zero once it answered.
 	adopted uint64
-	place   ledger.HandoverPlace
+	place   ledger.HandoverPosition
 	adoptAt time.Time
 	// silentVoters are the disks that it has not heard of for long.
 	silentVoters []string
@@ -220,7 +220,7 @@
 	records := p.server.state.MergeCharges(time.Now(), reply.Charges)
 	complete := true // replicas of the previous version hand over all charges in one reply
 	if reply.Handover != nil {
-		p.place, complete = p.place.Follow(*reply.Handover)
+		p.place, complete = p.place.Advance(*reply.Handover)
 	}
 	p.adoptAt = time.Time{}
 	if !complete {
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -53,11 +53,11 @@
 	// Places says which regions the zones belong to; nil where cells are not bound to regions.
 	Places   place.Map
 	Registry registry.Registry
-	// Known returns a registry object as far as it is known here without a call.
-	Known       func(name string) (registry.Object, bool)
-	Retirements Retirements
-	Log         *log.Logger
-	Metrics     *Metrics
+	// LookupCached returns a registry object as far as it is known here without a call.
+	LookupCached func(name string) (registry.Object, bool)
+	Retirements  Retirements
+	Log          *log.Logger
+	Metrics      *Metrics
 	// Traffic counts what is sent to other processes.
 	Traffic *traffic.Counter
 	// Quota is how exactly the limits of tenants must hold.
@@ -234,17 +234,17 @@
 	now := time.Now()
 	output := s.state.Step(now, request)
 	s.logRequest(request, output)
-	for _, reply := range output.Now {
+	for _, reply := range output.Immediate {
 		if reply.Inventory != nil {
 			reply.Inventory.Silent = s.silentVoters(now)
 		}
 		from.Send(reply)
 	}
-	if len(output.Durable) == 0 && len(output.Records) == 0 {
+	if len(output.AfterSync) == 0 && len(output.Records) == 0 {
 		return
 	}
 	s.persist(output.Records, func() {
-		for _, reply := range output.Durable {
+		for _, reply := range output.AfterSync {
 			from.Send(reply)
 		}
 	})
@@ -253,10 +253,10 @@
 // logRequest writes what a request changed.
 func (s *Server) logRequest(request ledger.Request, output ledger.Output) {
 	switch {
-	case len(output.Now) > 0 && output.Now[0].Stale != nil:
+	case len(output.Immediate) > 0 && output.Immediate[0].Stale != nil:
 		s.log.Warn().Str("event", "reservation_stale").Str("id", request.Reserve.Charge.Turn).
 			Uint64("epoch", request.Epoch).Uint64("own_epoch", s.state.Set().Epoch).Msg("")
-	case request.Reserve != nil && request.Reserve.History != "" && !output.Now[0].Reserve.Found:
+	case request.Reserve != nil && request.Reserve.History != "" && !output.Immediate[0].Reserve.Found:
 		s.log.Warn().Str("event", "history_missing").Str("id", request.Reserve.Charge.Turn).
 			Str("previous", request.Reserve.History).Int("position", s.state.Position()).Msg("")
 	case request.Adopt != nil && len(output.Records) > 0:
--- a/internal/replicaset/founding.go
+++ b/internal/replicaset/founding.go
@@ -102,5 +102,5 @@
 	return cells
 }
 
-// LossesBorne returns how many voters the set may lose and still have a quorum.
-func (s Set) LossesBorne() int { return max(0, len(s.Voters)-s.Quorum()) }
+// FaultTolerance returns how many voters the set may lose and still have a quorum.
+func (s Set) FaultTolerance() int { return max(0, len(s.Voters)-s.Quorum()) }
--- a/internal/replicaset/founding_test.go
+++ b/internal/replicaset/founding_test.go
@@ -42,7 +42,7 @@
 			}
 			for cell, set := range layout.Founding {
 				require.Len(t, set.Voters, c.voters[cell])
-				require.Equal(t, c.losses[cell], set.LossesBorne())
+				require.Equal(t, c.losses[cell], set.FaultTolerance())
 				for _, voter := range set.Voters {
 					region := c.places.Region(zoneOf[voter.Node])
 					bound := layout.Region(cell)
--- a/internal/replicaset/plan.go
+++ b/internal/replicaset/plan.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// UnreachableLimit is how long a voter must be out of reach before it may be taken
+// UnreachableTimeout is how long a voter must be out of reach before it may be taken
 // out of the set. Its disk stays a source of records, and it joins again when it
 // returns.
-const UnreachableLimit = 2 * time.Second
+const UnreachableTimeout = 2 * time.Second
 
 // absentLimit is how long a voter must be out of reach before it is taken out even where the
 // set bears it. Its disk cannot be told from one that is gone for good: as long as it is a
@@ -19,8 +19,8 @@
 
 // View is what a replica knows when it decides on the membership.
 type View struct {
-	// Own is this replica.
-	Own Voter
+	// Self is this replica.
+	Self Voter
 	// Set is the newest set of the own cell.
 	Set Set
 	// Disks maps each node to the disk it last registered.
@@ -30,8 +30,8 @@
 	Adopted map[string]bool
 	// Unreachable is how long each disk has been out of reach; zero for those in reach.
 	Unreachable map[string]time.Duration
-	// HeardBy is how many other voters in reach said of late that they hear of each disk.
-	HeardBy map[string]int
+	// ReachableFrom is how many other voters in reach said of late that they hear of each disk.
+	ReachableFrom map[string]int
 	// Tolerate is how many voters may be lost at once.
 	Tolerate int
 	// Leaving is set once this machine is to be emptied.
@@ -63,7 +63,7 @@
 
 // Plan returns the next step that this replica may make.
 func Plan(view View) Change {
-	if view.Set.Has(view.Own.Disk) {
+	if view.Set.Has(view.Self.Disk) {
 		return planMember(view)
 	}
 	if view.Leaving {
@@ -79,7 +79,7 @@
 		if len(view.Set.Voters) == 1 || !adoptedByQuorum(view) {
 			return Change{Kind: Wait, Reason: "the epoch is not adopted by a quorum"}
 		}
-		return Change{Kind: Remove, Next: view.Set.Without(view.Own.Disk), Reason: "this machine is to be emptied"}
+		return Change{Kind: Remove, Next: view.Set.Without(view.Self.Disk), Reason: "this machine is to be emptied"}
 	}
 	silent, due := silentVoter(view)
 	if !due {
@@ -99,7 +99,7 @@
 func silentVoter(view View) (Voter, bool) {
 	var silent []Voter
 	for _, voter := range view.Set.Voters {
-		if voter != view.Own && view.Unreachable[voter.Disk] >= UnreachableLimit {
+		if voter != view.Self && view.Unreachable[voter.Disk] >= UnreachableTimeout {
 			silent = append(silent, voter)
 		}
 	}
@@ -125,7 +125,7 @@
 // one does not: the path between the two is cut, and each would take the other out, join again and
 // take it out once more.
 func heardByMost(view View, voter Voter, present int) bool {
-	return 2*view.HeardBy[voter.Disk] > present-1
+	return 2*view.ReachableFrom[voter.Disk] > present-1
 }
 
 func planJoin(view View) Change {
@@ -137,7 +137,7 @@
 			return Change{Kind: Remove, Next: view.Set.Without(voter.Disk), Reason: "its machine returned with another disk"}
 		}
 	}
-	return Change{Kind: Add, Next: view.Set.With(view.Own), Reason: "caught up"}
+	return Change{Kind: Add, Next: view.Set.With(view.Self), Reason: "caught up"}
 }
 
 // lost reports whether a voter's disk is known to be gone for good: its machine
--- a/internal/replicaset/plan_test.go
+++ b/internal/replicaset/plan_test.go
@@ -43,49 +43,49 @@
 		gone string
 	}{
 		"a newcomer waits for a quorum to adopt the epoch": {
-			View{Own: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a")}, Wait, ""},
+			View{Self: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a")}, Wait, ""},
 		"a newcomer joins once a quorum has": {
-			View{Own: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a", "b")}, Add, ""},
+			View{Self: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a", "b")}, Add, ""},
 		"a machine that lost its disk first takes out the old one": {
-			View{Own: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b", "c"), Disks: map[string]string{"a": "new"}}, Remove, "disk-a"},
+			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b", "c"), Disks: map[string]string{"a": "new"}}, Remove, "disk-a"},
 		"a quorum that has lost a disk needs all that remain": {
-			View{Own: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b"), Disks: map[string]string{"a": "new"}}, Wait, ""},
+			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b"), Disks: map[string]string{"a": "new"}}, Wait, ""},
 		"lost disks cannot be waited for": {
-			View{Own: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("c"), Disks: map[string]string{"a": "new", "b": "newer"}}, Remove, "disk-a"},
+			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("c"), Disks: map[string]string{"a": "new", "b": "newer"}}, Remove, "disk-a"},
 		"a silent one of three stays, for two could not lose another": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c")}, None, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c")}, None, ""},
 		"a silent one of four leaves, for three can lose another": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "d")}, Remove, "disk-d"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "d")}, Remove, "disk-d"},
 		"not without a quorum that adopted the epoch": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "d")}, Wait, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "d")}, Wait, ""},
 		"a short outage is nothing": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(time.Second, "d")}, None, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(time.Second, "d")}, None, ""},
 		"of six with two dead, one leaves": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e", "f")}, Adopted: adopted("own", "b", "c", "d"), Unreachable: unreachable(long, "e", "f")}, Remove, "disk-e"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e", "f")}, Adopted: adopted("own", "b", "c", "d"), Unreachable: unreachable(long, "e", "f")}, Remove, "disk-e"},
 		"of five one that is silent for seconds stays, for the rest bears another loss": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "e")}, None, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "e")}, None, ""},
 		"of five one that stays away leaves": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
 		"of three one that stays away leaves, or one more lost disk could not be told from it": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, Remove, "disk-c"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, Remove, "disk-c"},
 		"so does one of five though two losses are to be borne": {
-			View{Own: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
+			View{Self: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
 		"of three all stay where two losses are to be borne": {
-			View{Own: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, None, ""},
+			View{Self: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, None, ""},
 		"not without a quorum that adopted the epoch, however long it is away": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "e")}, Wait, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "e")}, Wait, ""},
 		"in a half no one is taken out": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c", "d")}, None, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c", "d")}, None, ""},
 		"one that others hear stays, for only the path to it is cut": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c"), HeardBy: map[string]int{"disk-c": 1}}, None, ""},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c"), ReachableFrom: map[string]int{"disk-c": 1}}, None, ""},
 		"one that hardly anybody hears leaves": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e"), HeardBy: map[string]int{"disk-e": 1}}, Remove, "disk-e"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e"), ReachableFrom: map[string]int{"disk-e": 1}}, Remove, "disk-e"},
 		"a dead one leaves though another one is only cut off from here": {
-			View{Own: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "d", "e"), HeardBy: map[string]int{"disk-d": 2}}, Remove, "disk-e"},
+			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "d", "e"), ReachableFrom: map[string]int{"disk-d": 2}}, Remove, "disk-e"},
 		"a leaving voter takes itself out": {
-			View{Own: own, Leaving: true, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b")}, Remove, "disk-own"},
+			View{Self: own, Leaving: true, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b")}, Remove, "disk-own"},
 		"the last voter cannot leave": {
-			View{Own: own, Leaving: true, Set: Set{3, voters("own")}, Adopted: adopted("own")}, Wait, ""},
+			View{Self: own, Leaving: true, Set: Set{3, voters("own")}, Adopted: adopted("own")}, Wait, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -114,10 +114,10 @@
 
 func TestSetSurvivesTheRegistry(t *testing.T) {
 	set := Set{Epoch: 7, Voters: voters("a", "b")}
-	decoded, err := Decode(set.Encode())
+	decoded, err := DecodeSet(set.Encode())
 	require.NoError(t, err)
 	require.Equal(t, set, decoded)
-	_, err = Decode([]byte("no set"))
+	_, err = DecodeSet([]byte("no set"))
 	require.Error(t, err)
 }
 
--- a/internal/replicaset/read.go
+++ b/internal/replicaset/read.go
@@ -67,7 +67,7 @@
 }
 
 func (m *Membership) readSet(cell int, object registry.Object) {
-	set, err := Decode(object.Value)
+	set, err := DecodeSet(object.Value)
 	if err != nil || cell < 0 || cell >= len(m.Sets) {
 		return
 	}
--- a/internal/replicaset/register.go
+++ b/internal/replicaset/register.go
@@ -20,12 +20,12 @@
 	registryRetry = 200 * time.Millisecond
 )
 
-// Known returns a registry object as far as a process knows it without a call.
-type Known func(name string) (registry.Object, bool)
+// LookupCached returns a registry object as far as a process knows it without a call.
+type LookupCached func(name string) (registry.Object, bool)
 
 // Register writes a node's description under its name until that has succeeded. It makes
 // no call when the registry is known to hold it.
-func Register(ctx context.Context, objects registry.Registry, node Node, known Known, failed func(error)) {
+func Register(ctx context.Context, objects registry.Registry, node Node, known LookupCached, failed func(error)) {
 	content, _ := json.Marshal(node) // plain strings always encode
 	name := nodePrefix + node.Name
 	for ctx.Err() == nil {
@@ -39,7 +39,7 @@
 }
 
 // put creates an object, or replaces the one that is there.
-func put(ctx context.Context, objects registry.Registry, name string, content []byte, known Known) error {
+func put(ctx context.Context, objects registry.Registry, name string, content []byte, known LookupCached) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	present, exists := known(name)
--- a/internal/replicaset/set.go
+++ b/internal/replicaset/set.go
@@ -61,8 +61,8 @@
 	return content
 }
 
-// Decode reads the form kept in the registry.
-func Decode(content []byte) (Set, error) {
+// DecodeSet reads the form kept in the registry.
+func DecodeSet(content []byte) (Set, error) {
 	var set Set
 	if err := json.Unmarshal(content, &set); err != nil {
 		return Set{}, fmt.Errorf("replica set: %w", err)
