--- a/internal/ledger/bytes.go
+++ b/internal/ledger/bytes.go
@@ -1,18 +1,18 @@
 package ledger
 
-// Estimated sizes in bytes: a fixed part per message, charge or id, plus the text. The estimates
-// bound the memory of messages that wait to be sent or handled.
+// Estimated sizes in bytes: a fixed overhead per message, charge or id, to which the length of the
+// text is added. The estimates bound the memory of messages queued for sending or processing.
 const (
 	messageBytes = 200
 	chargeBytes  = 100
 	idBytes      = 32
 )
 
-// Bytes is about what the request holds.
+// Bytes estimates the memory that the request takes.
 func (r Request) Bytes() int {
 	size := messageBytes
 	if r.Commit != nil {
-		size += bytesOfTurns(r.Commit.Ancestors)
+		size += turnsBytes(r.Commit.Ancestors)
 		if r.Commit.Turn != nil {
 			size += r.Commit.Turn.Bytes()
 		}
@@ -23,9 +23,9 @@
 	return size
 }
 
-// Bytes is about what the reply holds.
+// Bytes estimates the memory that the reply takes.
 func (r Reply) Bytes() int {
-	size := messageBytes + len(r.Charges)*chargeBytes + bytesOfTurns(r.Turns)
+	size := messageBytes + len(r.Charges)*chargeBytes + turnsBytes(r.Turns)
 	if r.Reserve != nil {
 		size += len(r.Reserve.History) + len(r.Reserve.Charges)*chargeBytes
 	}
@@ -35,7 +35,7 @@
 	return size
 }
 
-// Bytes is about what the record holds.
+// Bytes estimates the memory that the record takes.
 func (r Record) Bytes() int {
 	if r.Turn != nil {
 		return messageBytes + r.Turn.Bytes()
@@ -43,7 +43,7 @@
 	return messageBytes
 }
 
-func bytesOfTurns(turns []Turn) int {
+func turnsBytes(turns []Turn) int {
 	size := 0
 	for _, turn := range turns {
 		size += turn.Bytes()
--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -12,18 +12,18 @@
 	"swiftbank.dev/swiftbank/internal/quota"
 )
 
-// recorded returns a reader of messages that the released version 0.7 wrote.
-func recorded(t *testing.T, name string) *gob.Decoder {
+// openRecording returns a decoder of messages that were written by the released version 0.7.
+func openRecording(t *testing.T, name string) *gob.Decoder {
 	file, err := os.Open("testdata/" + name)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = file.Close() })
 	return gob.NewDecoder(file)
 }
 
-// Gateways and replicas of two versions run side by side while a fleet is upgraded.
-func TestMessagesOfTheVersionBeforeAreRead(t *testing.T) {
+// Gateways and replicas of two versions run side by side during a rolling upgrade.
+func TestDecodeMessagesOfPreviousVersion(t *testing.T) {
 	final := Charge{Turn: "t", Tokens: 4, Final: true, Cached: CachedPrompt{Instance: "e", Part: "x", Tokens: 9}}
-	requests := recorded(t, "requests-0.7.gob")
+	requests := openRecording(t, "requests-0.7.gob")
 	var reserve, commit Request
 	require.NoError(t, requests.Decode(&reserve))
 	require.Equal(t, Request{Number: 7, Epoch: 3, Reserve: &Reserve{
@@ -34,21 +34,21 @@
 		ID: "t", Tenant: "a", Previous: "s", Input: []byte("in"), Output: []byte("out"), Instance: "e", Retention: time.Minute,
 	}}}, commit)
 	var reply Reply
-	require.NoError(t, recorded(t, "reply-0.7.gob").Decode(&reply))
+	require.NoError(t, openRecording(t, "reply-0.7.gob").Decode(&reply))
 	require.Equal(t, Reply{Number: 7, Disk: "d", Reserve: &ReserveReply{
 		Recorded: true, Found: true, History: []byte("h"), Instance: "e", Charges: []Charge{final},
 	}}, reply)
 }
 
-// cachedPrompt07 is a CachedPrompt as version 0.7 knows it.
+// cachedPrompt07 has the fields of CachedPrompt in version 0.7.
 type cachedPrompt07 struct {
 	Instance string
 	Part     string
 	Tokens   int
 }
 
-// What the version before does not know must not keep it from reading the rest.
-func TestTheVersionBeforeReadsWhatIsNew(t *testing.T) {
+// A field that was added later must not keep the previous version from decoding the message.
+func TestPreviousVersionIgnoresNewFields(t *testing.T) {
 	var message bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&message).Encode(CachedPrompt{Instance: "e", Born: 5, Part: "x", Tokens: 9}))
 	var read cachedPrompt07
@@ -56,7 +56,7 @@
 	require.Equal(t, cachedPrompt07{Instance: "e", Part: "x", Tokens: 9}, read)
 }
 
-// borrow07 and loan07 are a Borrow and a Loan as version 0.7 knows them.
+// borrow07 and loan07 have the fields of Borrow and Loan in version 0.7.
 type borrow07 struct {
 	Tenant         string
 	Waiting, Ahead int
@@ -74,9 +74,9 @@
 	require.NoError(t, gob.NewDecoder(&message).Decode(to))
 }
 
-// A lender of the version before lends to whoever asks; one that is held back has to wait in
-// its words as well.
-func TestLendersAndGatewaysOfTwoVersionsUnderstandEachOther(t *testing.T) {
+// A lender of the previous version lends to every program. A gateway of the previous version does
+// not know Held, so a held loan must also carry a wait.
+func TestLoanMessagesAreCompatibleAcrossVersions(t *testing.T) {
 	var old borrow07
 	recode(t, quota.Borrow{Tenant: "t", Waiting: 1, Ahead: 2, Part: quota.PartFirst, Told: quota.Usage{First: 1, Later: 9}}, &old)
 	require.Equal(t, borrow07{Tenant: "t", Waiting: 1, Ahead: 2}, old)
--- a/internal/ledger/handover.go
+++ b/internal/ledger/handover.go
@@ -1,24 +1,24 @@
 package ledger
 
-// HandoverPosition is how far the charges of a replica were handed over.
+// HandoverPosition is how far another replica has read a replica's charges.
 type HandoverPosition struct {
-	// Boot tells one run of the replica's process from others; positions are only comparable
-	// within a run.
+	// Boot identifies one run of the replica's process; positions are only comparable within
+	// a run.
 	Boot string
-	// Position is behind the last charge that was handed over.
+	// Position follows the last charge that was handed over.
 	Position int
 }
 
-// Handover is what a reply to an Adopt says of the charges in it.
+// Handover describes which charges a reply to an Adopt carries.
 type Handover struct {
-	// After and Next are the places before and behind the reply's charges.
+	// After and Next are the positions before the first and after the last charge of the reply.
 	After, Next HandoverPosition
-	// More is set when there are further charges behind Next.
+	// More is set when further charges follow Next.
 	More bool
 }
 
-// Advance returns how far the charges are known once the reply is merged, and whether that
-// is all of them. A reply that begins behind the known place has a gap before it.
+// Advance returns the position that is reached once the charges of the reply are merged, and whether
+// all charges have been read by then. A reply that starts after p leaves a gap and is ignored.
 func (p HandoverPosition) Advance(reply Handover) (next HandoverPosition, complete bool) {
 	if reply.After.Boot != reply.Next.Boot || reply.After.Boot == p.Boot && reply.After.Position > p.Position {
 		return p, false
@@ -27,68 +27,70 @@
 		return p, false
 	}
 	if reply.Next.Boot == p.Boot && reply.Next.Position < p.Position {
-		return p, false // an older reply, which was late
+		return p, false // a reply that was overtaken by a newer one
 	}
 	return reply.Next, !reply.More
 }
 
-// changedCharge is one entry of the order in which charges changed.
-type changedCharge struct {
+// changeLogEntry records that a charge was added or changed.
+type changeLogEntry struct {
 	program, turn string
 	final         bool
 }
 
-// chargeOrder is the order in which the charges of a replica changed. Each replica that is to
-// have all of them reads it from where it left off, whichever epoch that is for: read again for
-// each epoch, it would fill the link between regions.
-type chargeOrder struct {
-	changed []changedCharge
-	// base counts the entries that were dropped.
+// changeLog lists the charges of a replica in the order in which they changed. A replica that
+// reads all of them continues from its last position across epochs: reading them again for each
+// epoch would saturate the link between regions.
+type changeLog struct {
+	entries []changeLogEntry
+	// base is the number of entries that were trimmed from the front.
 	base int
 }
 
-func (o *chargeOrder) add(program string, charge Charge) {
-	o.changed = append(o.changed, changedCharge{program: program, turn: charge.Turn, final: charge.Final})
+func (o *changeLog) add(program string, charge Charge) {
+	o.entries = append(o.entries, changeLogEntry{program: program, turn: charge.Turn, final: charge.Final})
 }
 
-// current returns the charge of an entry, unless it changed again later or is gone.
-func (s *State) current(entry changedCharge) (ProgramCharge, bool) {
-	known := s.programs[entry.program]
-	if known == nil {
+// currentCharge returns the charge of an entry, unless a later entry supersedes it or the charge has
+// expired.
+func (s *State) currentCharge(entry changeLogEntry) (ProgramCharge, bool) {
+	existing := s.programs[entry.program]
+	if existing == nil {
 		return ProgramCharge{}, false
 	}
-	index := known.indexOf(entry.turn)
-	if index < 0 || known.charges[index].Final != entry.final {
+	index := existing.indexOf(entry.turn)
+	if index < 0 || existing.charges[index].Final != entry.final {
 		return ProgramCharge{}, false
 	}
-	charge := known.charges[index]
-	charge.Cached = CachedPrompt{} // a hint, which the other replicas give as well
-	return ProgramCharge{Program: entry.program, Charge: charge, Retention: known.retention}, true
+	charge := existing.charges[index]
+	charge.Cached = CachedPrompt{} // a placement hint that the other replicas return as well
+	return ProgramCharge{Program: entry.program, Charge: charge, Retention: existing.retention}, true
 }
 
-// handOver returns at most so many charges behind a place.
-func (s *State) handOver(after HandoverPosition, most int) ([]ProgramCharge, Handover) {
+// nextCharges returns at most limit charges that follow a position. A position of another run reads
+// from the start.
+func (s *State) nextCharges(after HandoverPosition, limit int) ([]ProgramCharge, Handover) {
 	if after.Boot != s.boot {
 		after = HandoverPosition{Boot: s.boot}
 	}
-	next := max(0, after.Position-s.chargeOrder.base)
+	next := max(0, after.Position-s.changeLog.base)
 	var charges []ProgramCharge
-	for ; next < len(s.chargeOrder.changed) && len(charges) < most; next++ {
-		if charge, holds := s.current(s.chargeOrder.changed[next]); holds {
+	for ; next < len(s.changeLog.entries) && len(charges) < limit; next++ {
+		if charge, exists := s.currentCharge(s.changeLog.entries[next]); exists {
 			charges = append(charges, charge)
 		}
 	}
-	end := HandoverPosition{Boot: s.boot, Position: s.chargeOrder.base + next}
-	return charges, Handover{After: after, Next: end, More: next < len(s.chargeOrder.changed)}
+	end := HandoverPosition{Boot: s.boot, Position: s.changeLog.base + next}
+	return charges, Handover{After: after, Next: end, More: next < len(s.changeLog.entries)}
 }
 
-// purgeChargeOrder drops the oldest entries that no longer hold.
-func (s *State) purgeChargeOrder() {
-	for len(s.chargeOrder.changed) > 0 {
-		if _, holds := s.current(s.chargeOrder.changed[0]); holds {
+// trimChangeLog drops entries from the front whose charges have changed again or expired.
+func (s *State) trimChangeLog() {
+	for len(s.changeLog.entries) > 0 {
+		if _, exists := s.currentCharge(s.changeLog.entries[0]); exists {
 			return
 		}
-		s.chargeOrder.changed = s.chargeOrder.changed[1:]
-		s.chargeOrder.base++
+		s.changeLog.entries = s.changeLog.entries[1:]
+		s.changeLog.base++
 	}
 }
--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -10,29 +10,29 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// reader is a replica that reads another one's charges.
-type reader struct {
-	state *State
-	place HandoverPosition
-	// read counts the charges that came, pages the replies.
+// chargeReader is a replica that reads the charges of another one.
+type chargeReader struct {
+	state    *State
+	position HandoverPosition
+	// read counts the charges that were received, pages the replies.
 	read, pages int
 }
 
-// readAll reads until it has all charges of an epoch.
-func (r *reader) readAll(t *testing.T, from *State, epoch uint64, most int) {
+// readAll sends adopt requests for an epoch until all charges have been read.
+func (r *chargeReader) readAll(t *testing.T, from *State, epoch uint64, limit int) {
 	for complete := false; !complete; {
-		output := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: epoch}, Charges: most, After: r.place}})
+		output := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: epoch}, Charges: limit, After: r.position}})
 		reply := output.AfterSync[0]
-		require.LessOrEqual(t, len(reply.Charges), most)
+		require.LessOrEqual(t, len(reply.Charges), limit)
 		r.state.MergeCharges(start, reply.Charges)
 		r.read += len(reply.Charges)
 		r.pages++
-		r.place, complete = r.place.Advance(*reply.Handover)
+		r.position, complete = r.position.Advance(*reply.Handover)
 	}
 	require.Equal(t, withoutHints(from.allCharges()), withoutHints(r.state.allCharges()))
 }
 
-// withoutHints returns the charges by turn, without what only placement reads.
+// withoutHints returns the charges by turn, without the placement hints.
 func withoutHints(charges []ProgramCharge) map[string]ProgramCharge {
 	byTurn := map[string]ProgramCharge{}
 	for _, charge := range charges {
@@ -50,40 +50,41 @@
 	}
 }
 
-// A replica that joins reads the charges of the others for each epoch on its way into the set.
-// All of them in one reply for each epoch, asked again while that was on its way, filled the way
-// between regions and the memory of those who answered.
-func TestChargesAreHandedOverOnceInPieces(t *testing.T) {
-	const charges, most = 1000, 64
+// A joining replica requests the charges of the others for each epoch until it is a voter. When
+// each reply carried all charges, and the request was repeated while a reply was in transit, the
+// replies saturated the link between regions and exhausted the memory of the senders.
+func TestChargesAreHandedOverOnceInPages(t *testing.T) {
+	const charges, limit = 1000, 64
 	from := NewState("old", "life-1")
 	addCharges(from, 0, charges, false)
 	addCharges(from, 0, charges/2, true)
-	joining := &reader{state: NewState("new", "life")}
-	joining.readAll(t, from, 1, most)
+	joining := &chargeReader{state: NewState("new", "life")}
+	joining.readAll(t, from, 1, limit)
 	require.Equal(t, charges, joining.read, "a charge that became final is read once")
 	addCharges(from, charges/2, 10, true)
-	joining.readAll(t, from, 2, most)
-	joining.readAll(t, from, 3, most)
-	require.Equal(t, charges+10, joining.read, "a later epoch takes what changed")
+	joining.readAll(t, from, 2, limit)
+	joining.readAll(t, from, 3, limit)
+	require.Equal(t, charges+10, joining.read, "a later epoch reads only the changes")
 
 	restarted := NewState("old", "life-2")
 	for _, record := range from.Snapshot() {
 		restarted.Replay(start, record)
 	}
 	addCharges(restarted, 2*charges, 5, true)
-	joining.readAll(t, restarted, 4, most)
+	joining.readAll(t, restarted, 4, limit)
 
-	late := start.Add(leastRetention + retentionMargin)
-	restarted.Purge(late)
-	require.Empty(t, restarted.chargeOrder.changed, "the order goes with the charges")
+	expired := start.Add(minRetention + retentionMargin)
+	restarted.Purge(expired)
+	require.Empty(t, restarted.changeLog.entries, "entries are trimmed when their charges expire")
 	addCharges(restarted, 3*charges, 5, true)
-	other := &reader{state: NewState("other", "life")}
-	other.readAll(t, restarted, 5, most)
+	other := &chargeReader{state: NewState("other", "life")}
+	other.readAll(t, restarted, 5, limit)
 	require.Equal(t, 5, other.read)
 }
 
-// A replica that is updated after others must not join without their charges.
-func TestAReplicaOfTheVersionBeforeGetsAllCharges(t *testing.T) {
+// During a rolling upgrade, a replica of the previous version must not join without the charges
+// of the others.
+func TestPreviousVersionGetsAllChargesAtOnce(t *testing.T) {
 	from := NewState("old", "life")
 	addCharges(from, 0, 100, true)
 	reply := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 1}, WithCharges: true}}).AfterSync[0]
@@ -92,7 +93,7 @@
 	require.Empty(t, from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 2}}}).AfterSync[0].Charges)
 }
 
-func TestAFetchIsCutBeforeItIsLarge(t *testing.T) {
+func TestFetchReplyIsTruncatedAtSizeLimit(t *testing.T) {
 	const turns, size = 100, 10_000
 	s := NewState("disk", "life")
 	var ids []string
--- a/internal/ledger/inventory.go
+++ b/internal/ledger/inventory.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// inventoryLimit bounds the ids of one inventory reply.
+	// inventoryLimit is the maximum number of ids in one inventory reply.
 	inventoryLimit = 4000
-	// fetchBytes is how many bytes of turns a reply holds before it is cut: it must not hold
-	// up the answers to callers on the same connection for long, nor fill the memory on either side.
+	// fetchBytes is the size of turns at which a reply is truncated. A larger reply would delay
+	// the answers to callers on the same connection and use too much memory on either side.
 	fetchBytes = 128 << 10
 )
 
-// Bytes is about what the turn weighs on the wire.
+// Bytes estimates the encoded size of the turn.
 func (t Turn) Bytes() int {
 	return len(t.ID) + len(t.Tenant) + len(t.Previous) + len(t.Input) + len(t.Output) + len(t.Instance)
 }
@@ -39,18 +39,18 @@
 }
 
 func (s *State) inventory(request Request) Output {
-	asked := request.Inventory
+	query := request.Inventory
 	after := 0
-	if asked.Boot == s.boot {
-		after = asked.After
-		s.peers[asked.From] = max(s.peers[asked.From], after)
+	if query.Boot == s.boot {
+		after = query.After
+		s.peerPositions[query.From] = max(s.peerPositions[query.From], after)
 	}
-	start := max(0, after-s.orderBase)
-	end := min(len(s.order), start+inventoryLimit)
+	start := max(0, after-s.trimmedIDs)
+	end := min(len(s.storedIDs), start+inventoryLimit)
 	reply := s.reply(request.Number)
-	reply.Inventory = &InventoryReply{Boot: s.boot, Position: s.orderBase + end, More: end < len(s.order)}
+	reply.Inventory = &InventoryReply{Boot: s.boot, Position: s.trimmedIDs + end, More: end < len(s.storedIDs)}
 	if start < end {
-		reply.Inventory.IDs = slices.Clone(s.order[start:end])
+		reply.Inventory.IDs = slices.Clone(s.storedIDs[start:end])
 	}
 	return Output{Immediate: []Reply{reply}}
 }
--- a/internal/ledger/messages.go
+++ b/internal/ledger/messages.go
@@ -2,11 +2,11 @@
 // immutable records, and the token charges of programs.
 //
 // Turns need no order and no leader. A turn is written once, under its own id, and
-// never changes; it is kept when enough disks have synced it, and any replica that
-// has it may answer a read.
+// is immutable; it is committed when enough disks have synced it, and any replica that
+// has it may serve a read.
 //
 // Charges need quorums but no leader either. Each charge belongs to one turn and
-// goes from reserved (the most the turn may generate) to final (what it did).
+// goes from reserved (the maximum the turn may generate) to final (what it did generate).
 // A gateway adds its reservation at a quorum of voters and gets back, in the same
 // answer, all charges known there. Two quorums share a voter, and that voter saw
 // one of two reservations first, so of two concurrent ones at least one sees the
@@ -24,44 +24,44 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// Turn is one finished turn of a line of turns. It never changes.
+// Turn is one finished turn of a conversation. It is immutable.
 type Turn struct {
 	ID string
-	// Tenant is whose turn it is; "" where the operator names no tenants. Only that
-	// tenant may go on from it.
+	// Tenant owns the turn; "" where the operator configures no tenants. Only the same
+	// tenant may continue it.
 	Tenant string
-	// Previous is the turn it goes on from, or "".
+	// Previous is the id of the turn that this one continues, or "".
 	Previous string
-	// Input is what the caller sent; Output what the engine answered, in the form in
-	// which later prompts hold it.
+	// Input is what the caller sent; Output is the engine's answer, in the form in
+	// which later prompts contain it.
 	Input  []byte
 	Output []byte
 	// Instance is the engine that ran the turn, a hint for placement.
 	Instance string
-	// Retention is how long the turn and its chain are kept after it was used last.
+	// Retention is how long the turn and its chain are kept after the last use.
 	Retention time.Duration
 }
 
-// Charge is what one turn counts against its program's budget, in tokens.
+// Charge is the number of tokens that one turn counts against its program's budget.
 type Charge struct {
 	Turn   string
 	Tokens int64
 	// Final is false for a reservation.
 	Final bool
-	// Cached is what the turn left in an instance's memory; set on final charges.
+	// Cached is the prompt that the turn left in an instance's cache; set on final charges.
 	Cached CachedPrompt
 }
 
-// CachedPrompt is a prompt that an instance holds, a hint for the placement of the
-// turns that go on from it on whichever gateway.
+// CachedPrompt is a prompt in an instance's cache. Any gateway uses it as a hint to place the
+// turns that continue it.
 type CachedPrompt struct {
 	Instance string
 	// Born is when the instance started, in Unix milliseconds; 0 where that is not known, as in
-	// what gateways of earlier versions write.
+	// charges written by gateways of earlier versions.
 	Born uint64
-	// Part is the last part of the prompt, Tokens how many of it are held, what was
-	// generated included. All parts before it are held as well.
-	Part   string
+	// Part identifies the last part of the prompt. All parts before it are cached as well.
+	Part string
+	// Tokens is the number of cached tokens, generated ones included.
 	Tokens int
 }
 
@@ -69,15 +69,15 @@
 type ProgramCharge struct {
 	Program string
 	Charge  Charge
-	// Retention is how long the program's charges are kept after they were used last.
+	// Retention is how long the program's charges are kept after the last use.
 	Retention time.Duration
 }
 
 // Request is one message to a replica. Exactly one of the pointers is set.
 type Request struct {
-	// Number pairs replies with requests of one connection.
+	// Number matches replies to the requests of one connection.
 	Number uint64
-	// Epoch is the replica set's epoch the sender acts under; used by Reserve.
+	// Epoch is the epoch of the replica set that the sender uses; only read for Reserve.
 	Epoch     uint64
 	Reserve   *Reserve
 	Commit    *Commit
@@ -86,11 +86,11 @@
 	Fetch     *Fetch
 	Chain     *Chain
 	Hello     *replicaset.Node
-	// Borrow is answered beside the ledger, by the replica's lender.
+	// Borrow is answered by the replica's quota lender, not by State.
 	Borrow *quota.Borrow
 }
 
-// Kind names what is asked, for metrics.
+// Kind returns the request's type as a metric label.
 func (r Request) Kind() string {
 	switch {
 	case r.Reserve != nil:
@@ -116,62 +116,64 @@
 
 // Reserve asks for a reservation, for a turn's history, or for both.
 type Reserve struct {
-	// Program is "" when there is no budget to count against.
+	// Program is "" when there is no budget to charge.
 	Program string
 	Charge  Charge
-	// Retention is how long the program may rest and still come back.
+	// Retention is how long the program may be idle before its charges are dropped.
 	Retention time.Duration
-	// History names the turn whose chain is asked for, or ""; Tenant is who asks.
+	// History is the turn whose chain is requested, or "".
 	History string
-	Tenant  string
+	// Tenant is the tenant that sends the request.
+	Tenant string
 }
 
 // Commit stores a finished turn, a final charge, or both.
 type Commit struct {
 	Turn *Turn
-	// Ancestors are the turns before it, where they were kept in another cell.
+	// Ancestors are the preceding turns; sent when they are stored in another cell.
 	Ancestors []Turn
 	Program   string
 	Charge    Charge
 	Retention time.Duration
 }
 
-// Adopt tells a replica of a newer membership. The durable reply means that it
-// refuses reservations under older epochs from now on, and carries the next charges if
-// asked for.
+// Adopt sends a replica a newer membership. The durable reply confirms that the replica
+// rejects reservations under older epochs from then on, and carries the next charges if
+// they were requested.
 type Adopt struct {
 	Set replicaset.Set
-	// Charges is how many charges the reply may carry; 0 asks for none.
+	// Charges is the maximum number of charges in the reply; 0 requests none.
 	Charges int
-	// WithCharges asks replicas of the version before for all charges at once, and is what they
-	// ask with: one that joined without the others' charges would hand budgets out again.
+	// WithCharges requests all charges in one reply. It is for compatibility with the previous
+	// version, which knows no other way: a replica that joined without the others' charges
+	// would grant the same budgets again.
 	WithCharges bool
-	// After is how far this replica's charges are known to the one that asks.
+	// After is the position up to which the sender has read this replica's charges.
 	After HandoverPosition
 }
 
-// Inventory asks which turns a replica has stored since a position.
+// Inventory requests the ids of the turns that a replica has stored since a position.
 type Inventory struct {
-	// Boot is the replica's Boot the position belongs to; another value reads from
-	// the beginning.
+	// Boot is the run of the replica's process to which After belongs; another value reads
+	// from the start.
 	Boot  string
 	After int
-	// From is the asking replica's disk: all up to After is durable there.
+	// From is the disk of the sender. All turns up to After are durable on it.
 	From string
 }
 
-// Fetch asks for turns by id.
+// Fetch requests turns by id.
 type Fetch struct {
 	IDs []string
 }
 
-// Chain asks for a turn and all turns before it.
+// Chain requests a turn and all its ancestors.
 type Chain struct {
 	ID string
 }
 
-// Reply is one message from a replica. A Reserve has two replies, first the
-// accepted one with the charges, then the durable one; the others have one.
+// Reply is one message from a replica. A Reserve has two replies: the first accepts it and
+// carries the charges, the second confirms that it is durable. Other requests have one.
 type Reply struct {
 	Number  uint64
 	Disk    string
@@ -180,24 +182,25 @@
 	// Stale is set when the request's epoch is older than the replica's; the request
 	// had no effect.
 	Stale *replicaset.Set
-	// Reserve answers a Reserve at its first reply.
+	// Reserve is set in the first reply to a Reserve.
 	Reserve *ReserveReply
-	// Charges answers an Adopt with charges, Handover says which of them.
+	// Charges is set in the reply to an Adopt that requested charges; Handover describes
+	// which of them it carries.
 	Charges   []ProgramCharge
 	Handover  *Handover
 	Inventory *InventoryReply
-	// Turns answers a Fetch, or a Chain with the newest turn first; a chain with a gap
-	// is answered with none.
+	// Turns is the reply to a Fetch, or to a Chain with the newest turn first. It is empty for
+	// a chain with a gap.
 	Turns []Turn
-	// Cut is set when a Fetch asked for more than one reply holds.
+	// Cut is set when the reply to a Fetch was truncated.
 	Cut bool
-	// Chain is set in the answer to a Chain.
+	// Chain is set in the reply to a Chain.
 	Chain bool
-	// Loan answers a Borrow.
+	// Loan is the reply to a Borrow.
 	Loan *quota.Loan
 }
 
-// Kind names what is answered, for metrics.
+// Kind returns the reply's type as a metric label.
 func (r Reply) Kind() string {
 	switch {
 	case r.Stale != nil:
@@ -219,20 +222,20 @@
 	}
 }
 
-// ReserveReply is what a replica knows when it accepts a reservation.
+// ReserveReply is a replica's answer when it accepts a reservation.
 type ReserveReply struct {
-	// Recorded says that the reservation is part of this replica's state.
+	// Recorded is set when the reservation is part of this replica's state.
 	Recorded bool
-	// Charges are those of the program, this one included.
+	// Charges are all charges of the program, this one included.
 	Charges []Charge
-	// Found says that the whole chain is here; History is its text, oldest first.
+	// Found is set when this replica has the whole chain; History is its text, oldest first.
 	Found    bool
 	History  []byte
 	Instance string
-	// Missing says that a history was asked for and is not here.
+	// Missing is set when a history was requested that this replica does not have.
 	Missing bool
-	// Foreign says that the turn is another tenant's. A turn never changes its tenant, so
-	// one replica's word is enough.
+	// Foreign is set when the turn belongs to another tenant. The tenant of a turn never
+	// changes, so the answer of one replica is enough.
 	Foreign bool
 }
 
@@ -241,9 +244,10 @@
 	Boot     string
 	IDs      []string
 	Position int
-	// More is set when there are further ids behind Position.
+	// More is set when further ids follow Position.
 	More bool
-	// Silent are the disks of the voters that this replica has not heard of for long.
+	// Silent lists the disks of the voters that this replica has not received anything from for
+	// UnreachableTimeout or longer.
 	Silent []string
 }
 
@@ -253,6 +257,6 @@
 	Turn   *Turn
 	Charge *ProgramCharge
 	Set    *replicaset.Set
-	// Lent is the lender's; the ledger passes it over.
+	// Lent is written and replayed by the quota lender; State ignores it.
 	Lent *quota.Lending
 }
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// retentionMargin is added to every retention, for the clocks of callers and
-	// replicas start at different moments.
+	// retentionMargin is added to every retention, because callers and replicas start to
+	// count it at different moments.
 	retentionMargin = 15 * time.Second
-	// leastRetention holds for charges of programs that name less.
-	leastRetention = 2 * time.Minute
-	// maxChain bounds the length of a chain of turns.
-	maxChain = 4096
+	// minRetention is the shortest retention of a program's charges.
+	minRetention = 2 * time.Minute
+	// maxChainLength is the maximum number of turns in a chain.
+	maxChainLength = 4096
 )
 
 // State is the content of one replica. It is not safe for concurrent use.
@@ -23,40 +23,42 @@
 	disk string
 	boot string
 	set  replicaset.Set
-	// turns holds every turn by id.
+	// turns holds the stored turns by id.
 	turns map[string]*storedTurn
-	// order lists turn ids as they were stored; orderBase counts those dropped.
-	order     []string
-	orderBase int
-	programs  map[string]*program
-	// chargeOrder is the order in which charges changed.
-	chargeOrder chargeOrder
-	// peers is how far each other disk has stored this replica's turns durably.
-	peers map[string]int
-	bytes int64
+	// storedIDs lists the ids of turns in the order in which they were stored; trimmedIDs is the
+	// number of ids that were trimmed from its front.
+	storedIDs  []string
+	trimmedIDs int
+	programs   map[string]*program
+	// changeLog lists the charges in the order in which they changed.
+	changeLog changeLog
+	// peerPositions is the inventory position up to which each other disk has stored this replica's
+	// turns durably.
+	peerPositions map[string]int
+	bytes         int64
 }
 
 type storedTurn struct {
 	turn Turn
-	// until is when the turn may be dropped. A chain's older turns live at least as
-	// long as the newer ones.
-	until time.Time
+	// expiresAt is when the turn may be dropped. The ancestors of a turn are kept at least as
+	// long as the turn.
+	expiresAt time.Time
 }
 
 type program struct {
-	// charges are in the order of their turns. Most programs have few: a map takes ten times
-	// the memory of one charge.
+	// charges are in the order of their turns. A slice is used because most programs have few
+	// charges, and a map takes ten times the memory of one charge.
 	charges   []Charge
 	retention time.Duration
-	until     time.Time
+	expiresAt time.Time
 }
 
-// NewState returns an empty replica. boot tells this life of the process from
-// earlier ones.
+// NewState returns the state of a replica that has stored nothing yet. boot identifies this run of
+// the process.
 func NewState(disk, boot string) *State {
 	return &State{
 		disk: disk, boot: boot,
-		turns: map[string]*storedTurn{}, programs: map[string]*program{}, peers: map[string]int{},
+		turns: map[string]*storedTurn{}, programs: map[string]*program{}, peerPositions: map[string]int{},
 	}
 }
 
@@ -66,20 +68,21 @@
 // Set returns the adopted membership.
 func (s *State) Set() replicaset.Set { return s.set }
 
-// Size returns the number of turns, of programs, and the bytes of turns.
+// Size returns the number of turns, the number of programs, and the bytes of the turns' input and
+// output.
 func (s *State) Size() (turns, programs int, bytes int64) {
 	return len(s.turns), len(s.programs), s.bytes
 }
 
-// Position returns the place of the newest stored turn in the inventory.
-func (s *State) Position() int { return s.orderBase + len(s.order) }
+// Position returns the position after the most recently stored turn in the inventory.
+func (s *State) Position() int { return s.trimmedIDs + len(s.storedIDs) }
 
-// PeerPosition returns how far a disk confirmed that it has stored this replica's
-// turns.
-func (s *State) PeerPosition(disk string) int { return s.peers[disk] }
+// PeerPosition returns the inventory position up to which a disk has confirmed that it stored
+// this replica's turns.
+func (s *State) PeerPosition(disk string) int { return s.peerPositions[disk] }
 
-// Output is what the owner must do after a step: send the replies of Now at once,
-// append and sync the records, then send the replies of Durable.
+// Output is what the caller of Step must do: send the Immediate replies, append and sync the
+// records, then send the AfterSync replies.
 type Output struct {
 	Immediate []Reply
 	Records   []Record
@@ -100,7 +103,7 @@
 	case request.Fetch != nil:
 		return s.fetch(request)
 	case request.Chain != nil:
-		return s.wholeChain(now, request)
+		return s.readChain(now, request)
 	default:
 		return Output{}
 	}
@@ -117,31 +120,31 @@
 		reply.Stale = &set
 		return Output{Immediate: []Reply{reply}}
 	}
-	asked := request.Reserve
+	query := request.Reserve
 	answer := &ReserveReply{}
 	reply.Reserve = answer
 	var output Output
-	if asked.Program != "" {
-		output.Records = s.charge(now, ProgramCharge{Program: asked.Program, Charge: asked.Charge, Retention: asked.Retention})
+	if query.Program != "" {
+		output.Records = s.charge(now, ProgramCharge{Program: query.Program, Charge: query.Charge, Retention: query.Retention})
 		answer.Recorded = true
-		answer.Charges = s.chargesOf(asked.Program)
+		answer.Charges = s.programCharges(query.Program)
 		durable := s.reply(request.Number)
 		durable.Durable = true
 		output.AfterSync = []Reply{durable}
 	}
-	switch stored := s.turns[asked.History]; {
-	case asked.History == "":
-	case stored != nil && stored.turn.Tenant != asked.Tenant:
+	switch stored := s.turns[query.History]; {
+	case query.History == "":
+	case stored != nil && stored.turn.Tenant != query.Tenant:
 		answer.Foreign = true
 	default:
-		answer.History, answer.Instance, answer.Found = s.history(now, asked.History)
+		answer.History, answer.Instance, answer.Found = s.history(now, query.History)
 		answer.Missing = !answer.Found
 	}
 	output.Immediate = []Reply{reply}
 	return output
 }
 
-func (s *State) chargesOf(name string) []Charge {
+func (s *State) programCharges(name string) []Charge {
 	known := s.programs[name]
 	if known == nil {
 		return nil
@@ -149,36 +152,37 @@
 	return slices.Clone(known.charges)
 }
 
-// charge merges one charge and returns the records that make it durable.
+// charge merges one charge, extends the retention of its program, and returns the records that
+// make the charge durable.
 func (s *State) charge(now time.Time, added ProgramCharge) []Record {
 	known := s.programs[added.Program]
 	if known == nil {
 		known = &program{}
 		s.programs[added.Program] = known
 	}
-	known.retention = max(known.retention, added.Retention, leastRetention)
-	known.until = now.Add(known.retention + retentionMargin)
+	known.retention = max(known.retention, added.Retention, minRetention)
+	known.expiresAt = now.Add(known.retention + retentionMargin)
 	merged, changed := known.merge(added.Charge)
 	if !changed {
 		return nil
 	}
-	s.chargeOrder.add(added.Program, merged)
+	s.changeLog.add(added.Program, merged)
 	return []Record{{Charge: &added}}
 }
 
-// MergeCharge returns the charge that holds after another one became known, and whether
-// it differs from the known one. A final charge replaces a reservation; of two
-// final ones the larger holds.
+// MergeCharge returns the result of merging a charge with the known one of its turn, and whether
+// it differs from the known one. A final charge replaces a reservation; of two charges that are
+// both final or both reserved, the larger one is kept.
 func MergeCharge(known map[string]Charge, charge Charge) (Charge, bool) {
 	old, exists := known[charge.Turn]
 	if !exists {
 		return charge, true
 	}
-	return later(old, charge)
+	return resolveCharge(old, charge)
 }
 
-// later returns which of two charges of a turn holds, and whether it is the second one.
-func later(old, charge Charge) (Charge, bool) {
+// resolveCharge returns which of two charges of a turn is kept, and whether it is the second one.
+func resolveCharge(old, charge Charge) (Charge, bool) {
 	switch {
 	case old.Final != charge.Final:
 		return charge, charge.Final
@@ -189,7 +193,8 @@
 	}
 }
 
-// indexOf returns the place of a turn's charge, or -1. The newest turns are asked for most.
+// indexOf returns the index of a turn's charge, or -1. It searches from the end, because the
+// newest turns are looked up most often.
 func (p *program) indexOf(turn string) int {
 	for index := len(p.charges) - 1; index >= 0; index-- {
 		if p.charges[index].Turn == turn {
@@ -199,22 +204,22 @@
 	return -1
 }
 
-// merge adds a charge and returns the one that holds, and whether anything changed.
+// merge adds a charge and returns the one that is kept, and whether anything changed.
 func (p *program) merge(charge Charge) (Charge, bool) {
 	index := p.indexOf(charge.Turn)
 	if index < 0 {
 		p.charges = append(p.charges, charge)
 		return charge, true
 	}
-	merged, changed := later(p.charges[index], charge)
+	merged, changed := resolveCharge(p.charges[index], charge)
 	if changed {
 		p.charges[index] = merged
 	}
 	return merged, changed
 }
 
-// history returns the text of a chain: input and output of each turn, oldest
-// first. A chain with a gap is not found.
+// history returns the text of a chain: input and output of each turn, oldest first. found is false
+// for a chain with a gap. Reading a chain extends its retention.
 func (s *State) history(now time.Time, id string) (text []byte, instance string, found bool) {
 	chain, complete := s.chain(id)
 	if !complete {
@@ -223,7 +228,7 @@
 	size := 0
 	for _, stored := range chain {
 		size += len(stored.turn.Input) + len(stored.turn.Output)
-		stored.until = maxTime(stored.until, now.Add(stored.turn.Retention+retentionMargin))
+		stored.expiresAt = maxTime(stored.expiresAt, now.Add(stored.turn.Retention+retentionMargin))
 	}
 	text = make([]byte, 0, size)
 	for _, stored := range slices.Backward(chain) {
@@ -233,11 +238,12 @@
 	return text, chain[0].turn.Instance, true
 }
 
-// chain returns a turn and its ancestors, newest first.
+// chain returns a turn and its ancestors, newest first. complete is false if an ancestor is missing
+// or the chain is longer than maxChainLength.
 func (s *State) chain(id string) (chain []*storedTurn, complete bool) {
 	for id != "" {
 		stored := s.turns[id]
-		if stored == nil || len(chain) > maxChain {
+		if stored == nil || len(chain) > maxChainLength {
 			return chain, false
 		}
 		chain = append(chain, stored)
@@ -264,18 +270,19 @@
 	return output
 }
 
-// store keeps a turn and lengthens the life of its chain.
+// store adds a turn, unless it is stored already, and extends the retention of its ancestors. It
+// returns the records that make the turn durable.
 func (s *State) store(now time.Time, turn Turn) []Record {
 	if s.turns[turn.ID] != nil {
 		return nil
 	}
-	until := now.Add(turn.Retention + retentionMargin)
-	s.turns[turn.ID] = &storedTurn{turn: turn, until: until}
-	s.order = append(s.order, turn.ID)
+	expiresAt := now.Add(turn.Retention + retentionMargin)
+	s.turns[turn.ID] = &storedTurn{turn: turn, expiresAt: expiresAt}
+	s.storedIDs = append(s.storedIDs, turn.ID)
 	s.bytes += int64(len(turn.Input) + len(turn.Output))
 	ancestors, _ := s.chain(turn.Previous)
 	for _, ancestor := range ancestors {
-		ancestor.until = maxTime(ancestor.until, until)
+		ancestor.expiresAt = maxTime(ancestor.expiresAt, expiresAt)
 	}
 	return []Record{{Turn: &turn}}
 }
@@ -291,7 +298,7 @@
 	reply.Durable = true
 	switch {
 	case request.Adopt.Charges > 0:
-		charges, handover := s.handOver(request.Adopt.After, request.Adopt.Charges)
+		charges, handover := s.nextCharges(request.Adopt.After, request.Adopt.Charges)
 		reply.Charges, reply.Handover = charges, &handover
 	case request.Adopt.WithCharges:
 		reply.Charges = s.allCharges()
@@ -311,7 +318,8 @@
 	return all
 }
 
-// MergeCharges merges the charges of another replica.
+// MergeCharges merges the charges of another replica and returns the records that make them
+// durable.
 func (s *State) MergeCharges(now time.Time, charges []ProgramCharge) []Record {
 	var records []Record
 	for _, charge := range charges {
@@ -320,37 +328,37 @@
 	return records
 }
 
-func (s *State) wholeChain(now time.Time, request Request) Output {
+func (s *State) readChain(now time.Time, request Request) Output {
 	reply := s.reply(request.Number)
 	reply.Chain = true
 	chain, complete := s.chain(request.Chain.ID)
 	if complete {
 		for _, stored := range chain {
-			stored.until = maxTime(stored.until, now.Add(stored.turn.Retention+retentionMargin))
+			stored.expiresAt = maxTime(stored.expiresAt, now.Add(stored.turn.Retention+retentionMargin))
 			reply.Turns = append(reply.Turns, stored.turn)
 		}
 	}
 	return Output{Immediate: []Reply{reply}}
 }
 
-// Purge drops turns and programs whose retention is over.
+// Purge drops turns and programs whose retention has ended.
 func (s *State) Purge(now time.Time) {
 	maps.DeleteFunc(s.turns, func(_ string, stored *storedTurn) bool {
-		if now.Before(stored.until) {
+		if now.Before(stored.expiresAt) {
 			return false
 		}
 		s.bytes -= int64(len(stored.turn.Input) + len(stored.turn.Output))
 		return true
 	})
-	maps.DeleteFunc(s.programs, func(_ string, known *program) bool { return !now.Before(known.until) })
-	s.purgeChargeOrder()
-	for len(s.order) > 0 && s.turns[s.order[0]] == nil {
-		s.order = s.order[1:]
-		s.orderBase++
+	maps.DeleteFunc(s.programs, func(_ string, known *program) bool { return !now.Before(known.expiresAt) })
+	s.trimChangeLog()
+	for len(s.storedIDs) > 0 && s.turns[s.storedIDs[0]] == nil {
+		s.storedIDs = s.storedIDs[1:]
+		s.trimmedIDs++
 	}
 }
 
-// Replay applies one record of the log at start.
+// Replay applies one record of the log when the replica starts.
 func (s *State) Replay(now time.Time, record Record) {
 	switch {
 	case record.Disk != "":
@@ -368,7 +376,7 @@
 func (s *State) Snapshot() []Record {
 	set := s.set
 	records := []Record{{Disk: s.disk}, {Set: &set}}
-	for _, id := range s.order {
+	for _, id := range s.storedIDs {
 		if stored := s.turns[id]; stored != nil {
 			records = append(records, Record{Turn: &stored.turn})
 		}
--- a/internal/ledger/state_test.go
+++ b/internal/ledger/state_test.go
@@ -25,7 +25,7 @@
 	return s.Step(now, Request{Epoch: s.Set().Epoch, Reserve: &Reserve{History: id}}).Immediate[0].Reserve
 }
 
-func TestHistoryIsTheChainOldestFirst(t *testing.T) {
+func TestHistoryReturnsChainOldestFirst(t *testing.T) {
 	s := NewState("disk", "boot")
 	commit(s, start, turnNamed("a", ""))
 	commit(s, start, turnNamed("b", "a"))
@@ -37,7 +37,7 @@
 	require.False(t, history(s, start, "unknown").Found)
 }
 
-func TestChainWithAGapIsNotFound(t *testing.T) {
+func TestHistoryOfIncompleteChainIsNotFound(t *testing.T) {
 	s := NewState("disk", "boot")
 	commit(s, start, turnNamed("b", "a"))
 	require.False(t, history(s, start, "b").Found)
@@ -45,7 +45,7 @@
 	require.True(t, history(s, start, "b").Found)
 }
 
-func TestATurnNeverChanges(t *testing.T) {
+func TestStoredTurnIsImmutable(t *testing.T) {
 	s := NewState("disk", "boot")
 	require.Len(t, commit(s, start, turnNamed("a", "")).Records, 1)
 	other := turnNamed("a", "")
@@ -54,7 +54,7 @@
 	require.Equal(t, "a?a!", string(history(s, start, "a").History))
 }
 
-func TestAChainLivesAsLongAsItsNewestTurn(t *testing.T) {
+func TestChainIsRetainedAsLongAsNewestTurn(t *testing.T) {
 	s := NewState("disk", "boot")
 	commit(s, start, turnNamed("a", ""))
 	later := start.Add(70 * time.Second)
@@ -67,7 +67,7 @@
 	require.Zero(t, bytes)
 }
 
-func TestMergeOfChargesDoesNotDependOnOrder(t *testing.T) {
+func TestMergeChargeIsCommutative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		charges := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Charge {
 			return Charge{
@@ -91,17 +91,17 @@
 	})
 }
 
-func TestAnOlderEpochReservesNothing(t *testing.T) {
+func TestReserveIsRejectedUnderStaleEpoch(t *testing.T) {
 	s := NewState("disk", "boot")
 	set := replicaset.Set{Epoch: 4, Voters: []replicaset.Voter{{Node: "n", Disk: "disk"}}}
 	adopted := s.Step(start, Request{Adopt: &Adopt{Set: set}})
 	require.Len(t, adopted.Records, 1)
-	require.Empty(t, adopted.Immediate, "an adoption counts only once it is durable")
+	require.Empty(t, adopted.Immediate, "an adoption is confirmed only once it is durable")
 	reserve := Request{Epoch: 3, Reserve: &Reserve{Program: "p", Charge: Charge{Turn: "t", Tokens: 5}}}
 	refused := s.Step(start, reserve)
 	require.Equal(t, uint64(4), refused.Immediate[0].Stale.Epoch)
 	require.Empty(t, refused.Records)
-	require.Empty(t, s.chargesOf("p"))
+	require.Empty(t, s.programCharges("p"))
 	reserve.Epoch = 4
 	accepted := s.Step(start, reserve)
 	require.True(t, accepted.Immediate[0].Reserve.Recorded)
@@ -109,7 +109,7 @@
 	require.True(t, accepted.AfterSync[0].Durable)
 }
 
-func TestReplayOfTheSnapshotRebuildsTheState(t *testing.T) {
+func TestReplayOfSnapshotRebuildsState(t *testing.T) {
 	s := NewState("disk", "boot")
 	commit(s, start, turnNamed("a", ""))
 	commit(s, start, turnNamed("b", "a"))
@@ -125,7 +125,7 @@
 	require.Equal(t, s.allCharges(), rebuilt.allCharges())
 }
 
-func TestInventoryListsWhatIsNewAndNotesTheReadersPosition(t *testing.T) {
+func TestInventoryListsNewTurnsAndRecordsReaderPosition(t *testing.T) {
 	s := NewState("disk", "boot")
 	commit(s, start, turnNamed("a", ""))
 	commit(s, start, turnNamed("b", "a"))
@@ -138,29 +138,29 @@
 	commit(s, start, turnNamed("c", "b"))
 	require.Equal(t, []string{"c"}, ask(all.Boot, all.Position).IDs)
 	require.Equal(t, 2, s.PeerPosition("reader"))
-	require.Len(t, ask("an earlier boot", 2).IDs, 3, "positions of an earlier life count for nothing")
+	require.Len(t, ask("an earlier boot", 2).IDs, 3, "positions of an earlier run are ignored")
 }
 
-// A program that rests for as long as its route allows comes back to the same
-// charges, also at a replica that was started again or learned them from another.
-func TestChargesLiveAsLongAsTheProgramMayRest(t *testing.T) {
-	const rest = 10 * time.Minute
+// A program that is idle for as long as its route allows keeps its charges, also on a replica that
+// was restarted or received them from another one.
+func TestChargesAreRetainedForProgramRetention(t *testing.T) {
+	const retention = 10 * time.Minute
 	s := NewState("disk", "boot")
-	s.Step(start, Request{Reserve: &Reserve{Program: "p", Charge: Charge{Turn: "t", Tokens: 7}, Retention: rest}})
+	s.Step(start, Request{Reserve: &Reserve{Program: "p", Charge: Charge{Turn: "t", Tokens: 7}, Retention: retention}})
 	rebuilt, joined := NewState("", "another boot"), NewState("other", "boot")
 	for _, record := range s.Snapshot() {
 		rebuilt.Replay(start, record)
 	}
 	joined.MergeCharges(start, s.allCharges())
-	for name, state := range map[string]*State{"kept": s, "started again": rebuilt, "learned": joined} {
-		state.Purge(start.Add(rest))
-		require.Len(t, state.chargesOf("p"), 1, name)
-		state.Purge(start.Add(2 * rest))
-		require.Empty(t, state.chargesOf("p"), name)
+	for name, state := range map[string]*State{"original": s, "restarted": rebuilt, "joined": joined} {
+		state.Purge(start.Add(retention))
+		require.Len(t, state.programCharges("p"), 1, name)
+		state.Purge(start.Add(2 * retention))
+		require.Empty(t, state.programCharges("p"), name)
 	}
 }
 
-func TestATurnIsContinuedByItsTenantOnly(t *testing.T) {
+func TestTurnIsContinuedByItsTenantOnly(t *testing.T) {
 	s := NewState("disk", "boot")
 	turn := turnNamed("a", "")
 	turn.Tenant = "riga"
@@ -179,5 +179,5 @@
 		restarted.Replay(start, record)
 	}
 	s = restarted
-	require.True(t, ask("luzon").Foreign, "a restart keeps whose turn it is")
+	require.True(t, ask("luzon").Foreign, "a restart keeps the tenant of the turn")
 }
