--- a/internal/replica/lend.go
+++ b/internal/replica/lend.go
@@ -10,7 +10,7 @@
 	"swiftbank.dev/swiftbank/internal/route"
 )
 
-// ConfigurationChanged takes the limits of the tenants from a configuration.
+// ConfigurationChanged applies the tenants' limits of a new configuration.
 func (s *Server) ConfigurationChanged(table *route.Table) {
 	s.post(func() {
 		s.lender.SetTenants(table.Tenants)
@@ -18,7 +18,7 @@
 	})
 }
 
-// resumeLending makes a voter that was restarted go on with what its disk says that it lent.
+// resumeLending restores the outstanding lendings of a restarted voter from its disk.
 func (s *Server) resumeLending(recent map[string]int) {
 	set := s.state.Set()
 	if index := set.IndexOf(s.state.Disk()); index >= 0 {
@@ -26,23 +26,23 @@
 	}
 }
 
-// lend answers a gateway that asks for allowances. What was lent goes to the disk; the answer
-// waits for that if much is not there yet.
+// lend answers a gateway's request for allowances. Lendings are written to the disk; the reply
+// waits for the sync if too many of them are not durable yet.
 func (s *Server) lend(request ledger.Request, send func(ledger.Reply)) {
 	now := time.Now()
-	s.tellLender(now)
-	if !s.maySpeakForCell(now) {
+	s.updateLender(now)
+	if !s.isMembershipCurrent(now) {
 		send(ledger.Reply{Number: request.Number, Disk: s.state.Disk(), Epoch: s.state.Set().Epoch, Loan: &quota.Loan{Unable: true}})
 		return
 	}
 	tenant := request.Borrow.Tenant
-	lent, sync := s.lender.Lend(now, *request.Borrow)
-	s.options.Metrics.lent(lent)
-	reply := ledger.Reply{Number: request.Number, Disk: s.state.Disk(), Epoch: s.state.Set().Epoch, Loan: &lent}
+	loan, sync := s.lender.Lend(now, *request.Borrow)
+	s.options.Metrics.observeLoan(loan)
+	reply := ledger.Reply{Number: request.Number, Disk: s.state.Disk(), Epoch: s.state.Set().Epoch, Loan: &loan}
 	if !sync {
 		send(reply)
 	}
-	allowances := lent.Waiting + lent.Ahead
+	allowances := loan.Waiting + loan.Ahead
 	if allowances == 0 {
 		return
 	}
@@ -54,52 +54,55 @@
 	})
 }
 
-// maySpeakForCell reports whether this voter would know of a newer set: it heard from a quorum of
-// its set, or of the store, within the time after which others may take it out. A voter that is cut
-// off lends nothing, for the rest has taken its share over by then.
-func (s *Server) maySpeakForCell(now time.Time) bool {
-	s.noticePause(now)
-	may := s.members.newsFresh || s.heardQuorum(now)
-	if may == s.members.cutOff {
-		s.members.cutOff = !may
-		s.log.Warn().Str("event", "cut_off_changed").Bool("cut_off", !may).Int("cell", s.members.cell).
-			Uint64("epoch", s.state.Set().Epoch).Bool("news_fresh", s.members.newsFresh).Msg("")
+// isMembershipCurrent reports whether this voter would know of a newer set: it received something
+// from a quorum of its set, or its view of the registry is fresh, within the time after which other
+// voters may remove it. An isolated voter lends nothing, because the others may have taken over its
+// share.
+func (s *Server) isMembershipCurrent(now time.Time) bool {
+	s.detectPause(now)
+	current := s.members.registryFresh || s.isQuorumReachable(now)
+	if current == s.members.isolated {
+		s.members.isolated = !current
+		s.log.Warn().Str("event", "cut_off_changed").Bool("cut_off", !current).Int("cell", s.members.cell).
+			Uint64("epoch", s.state.Set().Epoch).Bool("news_fresh", s.members.registryFresh).Msg("")
 	}
-	return may
+	return current
 }
 
-// noticePause forgets that the news are fresh when this process stood still for longer than others
-// wait for a voter: what it believed is from before.
-func (s *Server) noticePause(now time.Time) {
+// detectPause marks the view of the registry as outdated when this process was paused for longer than
+// UnreachableTimeout: the view dates from before the pause, and other voters may have removed this
+// one since.
+func (s *Server) detectPause(now time.Time) {
 	if !s.tickedAt.IsZero() && now.Sub(s.tickedAt) > replicaset.UnreachableTimeout {
-		s.members.newsFresh = false
+		s.members.registryFresh = false
 	}
 }
 
-// heardQuorum reports whether so many voters as make a quorum said something of late.
-func (s *Server) heardQuorum(now time.Time) bool {
+// isQuorumReachable reports whether this replica has received something from a quorum of the voters,
+// itself included, within UnreachableTimeout.
+func (s *Server) isQuorumReachable(now time.Time) bool {
 	set := s.state.Set()
-	heard := 0
+	reachable := 0
 	for _, voter := range set.Voters {
 		peer := s.peers[voter.Node]
-		isHeard := peer != nil && peer.disk == voter.Disk && now.Sub(peer.heardAt) <= replicaset.UnreachableTimeout
-		if isHeard || voter.Disk == s.state.Disk() {
-			heard++
+		isReachable := peer != nil && peer.disk == voter.Disk && now.Sub(peer.lastReplyAt) <= replicaset.UnreachableTimeout
+		if isReachable || voter.Disk == s.state.Disk() {
+			reachable++
 		}
 	}
-	return heard >= set.Quorum()
+	return reachable >= set.Quorum()
 }
 
-// FeedStatusChanged says whether the news of the registry is as good as the store's own word.
+// FeedStatusChanged records whether the view of the registry is as current as a read from the store.
 func (s *Server) FeedStatusChanged(status feed.Status) {
-	s.post(func() { s.members.newsFresh = status.Fresh() })
+	s.post(func() { s.members.registryFresh = status.Fresh() })
 }
 
 func (s *Server) lendingRecord(now time.Time, tenant string, allowances int) ledger.Record {
-	return ledger.Record{Lent: &quota.Lending{Tenant: tenant, Allowances: allowances, Life: s.life, Uptime: now.Sub(s.started)}}
+	return ledger.Record{Lent: &quota.Lending{Tenant: tenant, Allowances: allowances, Life: s.runID, Uptime: now.Sub(s.started)}}
 }
 
-// snapshot returns records that rebuild the ledger and what counts of the lendings.
+// snapshot returns records that rebuild the ledger and the outstanding lendings.
 func (s *Server) snapshot(now time.Time) []ledger.Record {
 	records := s.state.Snapshot()
 	for tenant, allowances := range s.lender.Outstanding(now) {
@@ -108,8 +111,8 @@
 	return records
 }
 
-// tellLender gives the lender its share by the adopted set of voters.
-func (s *Server) tellLender(now time.Time) {
+// updateLender sets the lender's share of the limits according to the adopted set of voters.
+func (s *Server) updateLender(now time.Time) {
 	set := s.state.Set()
 	s.lender.SetVoters(now, set.IndexOf(s.state.Disk()), len(set.Voters))
 }
--- a/internal/replica/limits.go
+++ b/internal/replica/limits.go
@@ -5,39 +5,40 @@
 	"swiftbank.dev/swiftbank/internal/peer"
 )
 
-// Each queue may hold the machine's memory divided by its divisor. Turns and charges, the runtime
-// and its garbage need the rest. Without these bounds a full link or a failing disk would make
-// replicas grow until the kernel kills them, all at the same time.
+// Each queue may use the machine's memory divided by its divisor. The rest is for turns and
+// charges, the runtime and garbage. Without these bounds, a saturated link or a failing disk would
+// make all replicas grow at the same time until the kernel kills them.
 const (
 	inboxDivisor    = 16
 	outgoingDivisor = 16
 	diskDivisor     = 16
-	// leastMemoryMB is assumed where the memory is not configured, or less is.
-	leastMemoryMB = 64
+	// minMemoryMB is used if the memory is not configured or is smaller.
+	minMemoryMB = 64
 )
 
-// limits bound what waits in a replica, in bytes.
+// limits bound the queues of a replica, in bytes.
 type limits struct {
-	// inbox is what was received and not handled. When it is full, connections are not read.
+	// inbox bounds the messages that were received but not handled yet. While it is used up,
+	// connections are not read.
 	inbox *peer.Budget
-	// outgoing is answers that were not sent. What has no room is dropped; callers ask other
-	// replicas.
+	// outgoing bounds the replies that were not sent yet. Replies that exceed it are dropped;
+	// gateways get theirs from other replicas.
 	outgoing *peer.Budget
-	// disk bounds what waits for the disk. A request that has no room is not answered; callers
-	// ask other replicas.
+	// disk bounds the records that wait for the disk. A request that exceeds it is not answered;
+	// gateways get their replies from other replicas.
 	disk int
-	// refusing is set while the disk's room is used up.
+	// refusing is set while the disk limit is used up.
 	refusing bool
 }
 
 func newLimits(memoryMB int) limits {
-	bytes := max(memoryMB, leastMemoryMB) << 20
+	bytes := max(memoryMB, minMemoryMB) << 20
 	return limits{
 		inbox: peer.NewBudget(bytes / inboxDivisor), outgoing: peer.NewBudget(bytes / outgoingDivisor), disk: bytes / diskDivisor,
 	}
 }
 
-// postMessage hands a received message over to the loop, once there is room for it.
+// postMessage passes a received message to the loop. It blocks until the inbox has room for it.
 func (s *Server) postMessage(bytes int, work func()) {
 	if !s.limits.inbox.Acquire(bytes) {
 		return
@@ -48,8 +49,8 @@
 	})
 }
 
-// overloaded reports whether a request is left unanswered because too much waits for the disk.
-// To its sender it is as if the message were lost.
+// overloaded reports whether a request must be dropped because too many bytes wait for the disk.
+// To the sender, the message is lost.
 func (s *Server) overloaded(request ledger.Request) bool {
 	if request.Commit == nil && request.Reserve == nil {
 		return false
--- a/internal/replica/limits_test.go
+++ b/internal/replica/limits_test.go
@@ -11,11 +11,11 @@
 	"swiftbank.dev/swiftbank/internal/quota"
 )
 
-// While the disk stands still a replica takes what its limit holds and no more; it goes on once
-// the disk does.
-func TestWhatWaitsForTheDiskIsBounded(t *testing.T) {
+// While the disk stalls, a replica accepts requests up to its limit; it accepts requests again once
+// the disk recovers.
+func TestDiskQueueIsBounded(t *testing.T) {
 	const commits, size = 100, 100_000
-	s := lenderOn(t, t.TempDir(), quota.DefaultPolicy)
+	s := newLender(t, t.TempDir(), quota.DefaultPolicy)
 	require.Less(t, s.limits.disk, commits*size)
 	commit := func(number int) ledger.Request {
 		return ledger.Request{Commit: &ledger.Commit{Turn: &ledger.Turn{ID: fmt.Sprint(number), Input: make([]byte, size), Retention: time.Minute}}}
@@ -31,8 +31,8 @@
 	}
 	require.Positive(t, refused)
 	require.Less(t, refused, commits)
-	require.False(t, s.overloaded(ledger.Request{Inventory: &ledger.Inventory{}}), "what writes nothing is answered")
-	defer runDisk(s)()
+	require.False(t, s.overloaded(ledger.Request{Inventory: &ledger.Inventory{}}), "requests that write nothing are answered")
+	defer startSyncer(s)()
 	require.Eventually(t, func() bool { return s.syncer.waitingBytes() == 0 }, 20*time.Second, time.Millisecond)
 	require.False(t, s.overloaded(commit(commits)))
 }
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -13,91 +13,92 @@
 const (
 	// registryTimeout bounds one call to the registry.
 	registryTimeout = 2 * time.Second
-	// changePauseFirst and changePauseMost bound the pause after a change that failed.
-	changePauseFirst = 50 * time.Millisecond
-	changePauseMost  = time.Second
-	// foundingQuiet is how long no further replica may have registered before the
-	// cells are founded: their number stays for good.
-	foundingQuiet = 900 * time.Millisecond
-	// leaveGrace is how long gateways may still write to a replica after it said
-	// that it leaves.
+	// minChangeBackoff and changePauseMost bound the backoff after a failed change.
+	minChangeBackoff = 50 * time.Millisecond
+	maxChangeBackoff = time.Second
+	// foundingDelay is how long no further replica may have registered before the
+	// cells are founded: their number cannot change later.
+	foundingDelay = 900 * time.Millisecond
+	// leaveGrace is how long gateways may still write to a replica after it registered
+	// as leaving.
 	leaveGrace = 400 * time.Millisecond
 )
 
-// membership is what a replica knows of its cell. It belongs to the loop.
+// membership is what a replica knows of its cell. Only the loop accesses it.
 type membership struct {
-	// reader decodes the registry's objects; read is their content, fresh is false until it was
-	// read once.
-	reader *replicaset.Reader
-	read   replicaset.Membership
-	fresh  bool
-	// newsFresh says that what was read is as good as the store's own word; cutOff that neither the
-	// store nor a quorum of the cell was heard of late.
-	newsFresh, cutOff bool
-	// newcomerAt is when a further replica was last seen.
-	newcomerAt time.Time
-	// cell is the own cell, or NoCell; set its newest set, at a revision.
+	// reader decodes the registry's objects; registered is their content, loaded is false until
+	// they were read once.
+	reader     *replicaset.Reader
+	registered replicaset.Membership
+	loaded     bool
+	// registryFresh is set while the registered content is as current as a read from the store;
+	// isolated while neither that holds nor a quorum of the cell is reachable.
+	registryFresh, isolated bool
+	// lastNewReplicaAt is when the number of registered replicas last grew.
+	lastNewReplicaAt time.Time
+	// cell is this replica's cell, or NoCell; set is its newest set, read at revision.
 	cell     int
 	set      replicaset.Set
 	revision uint64
-	// changing is set while a change is under way at the registry; after a failure
-	// the next try waits until notBefore, a pause that doubles.
+	// changing is set while a write to the registry is in progress; after a failure
+	// the next attempt waits until notBefore, with exponential backoff.
 	changing  bool
 	notBefore time.Time
-	pause     time.Duration
-	// registration is cancelled when the node describes itself anew.
+	backoff   time.Duration
+	// registration cancels the registration in progress, before a newer one starts.
 	registration context.CancelFunc
-	leaving      bool
-	leftAt       time.Time
-	left         func()
-	reason       string
+	// leaving is set once this replica is asked to leave; onLeft is called when that is complete.
+	leaving        bool
+	leaveStartedAt time.Time
+	onLeft         func()
+	waitReason     string
 }
 
-// MembersChanged replaces the registry's objects.
+// MembersChanged applies a new list of all registry objects.
 func (s *Server) MembersChanged(objects []registry.Object) {
-	s.post(func() { s.readRegistry(s.members.reader.Read(objects)) })
+	s.post(func() { s.applyRegistry(s.members.reader.Read(objects)) })
 }
 
-func (s *Server) readRegistry(read replicaset.Membership) {
-	if len(read.Replicas) > len(s.members.read.Replicas) {
-		s.members.newcomerAt = time.Now()
+func (s *Server) applyRegistry(registered replicaset.Membership) {
+	if len(registered.Replicas) > len(s.members.registered.Replicas) {
+		s.members.lastNewReplicaAt = time.Now()
 	}
-	s.members.read = read
-	s.members.fresh = true
-	s.options.Traffic.SetMembers(read)
-	if !read.HasLayout {
+	s.members.registered = registered
+	s.members.loaded = true
+	s.options.Traffic.SetMembers(registered)
+	if !registered.HasLayout {
 		return
 	}
 	s.findCell()
-	s.readSet(read.Sets[s.members.cell], read.Revisions[s.members.cell])
-	for _, node := range read.Replicas {
-		if read.CellOfNode(node) == s.members.cell {
-			s.meet(node)
+	s.applySet(registered.Sets[s.members.cell], registered.Revisions[s.members.cell])
+	for _, node := range registered.Replicas {
+		if registered.CellOfNode(node) == s.members.cell {
+			s.connectPeer(node)
 		}
 	}
 }
 
-// findCell decides on the own cell once, and registers it.
+// findCell chooses this replica's cell once, and registers it.
 func (s *Server) findCell() {
 	if s.members.cell != replicaset.NoCell {
 		return
 	}
-	own := s.own()
-	own.Cell = s.members.read.Replicas[s.options.Node].Cell
+	self := s.self()
+	self.Cell = s.members.registered.Replicas[s.options.Node].Cell
 	zones := map[string]string{}
-	for name, node := range s.members.read.Replicas {
+	for name, node := range s.members.registered.Replicas {
 		zones[name] = node.Zone
 	}
-	layout, ownRegion := s.members.read.Layout, s.options.Places.Region(s.options.Zone)
-	s.members.cell = replicaset.ChooseCell(own, ownRegion, layout, s.members.read.Sets, zones)
-	s.log.Info().Str("event", "cell_found").Int("cell", s.members.cell).Int("cells", len(s.members.read.Sets)).
+	layout, ownRegion := s.members.registered.Layout, s.options.Places.Region(s.options.Zone)
+	s.members.cell = replicaset.ChooseCell(self, ownRegion, layout, s.members.registered.Sets, zones)
+	s.log.Info().Str("event", "cell_found").Int("cell", s.members.cell).Int("cells", len(s.members.registered.Sets)).
 		Str("region", layout.Region(s.members.cell)).Str("own_region", ownRegion).Msg("")
-	if !own.HasCell() || *own.Cell != s.members.cell {
+	if !self.HasCell() || *self.Cell != s.members.cell {
 		s.register()
 	}
 }
 
-func (s *Server) readSet(set replicaset.Set, revision uint64) {
+func (s *Server) applySet(set replicaset.Set, revision uint64) {
 	if revision > s.members.revision {
 		s.members.revision = revision
 	}
@@ -111,16 +112,16 @@
 	s.persist(output.Records, nil)
 }
 
-// Leave empties this machine: it leaves the replica set, waits until its turns are
-// durable elsewhere, and then calls done.
+// Leave drains this machine: the replica leaves the replica set, waits until its turns are
+// durable on other replicas, and then calls done.
 func (s *Server) Leave(done func()) {
 	s.post(func() {
 		if s.members.leaving {
 			return
 		}
 		s.members.leaving = true
-		s.members.left = done
-		s.members.leftAt = time.Now()
+		s.members.onLeft = done
+		s.members.leaveStartedAt = time.Now()
 		s.log.Info().Str("event", "leave_begun").Msg("")
 		s.register()
 	})
@@ -128,10 +129,10 @@
 
 // tickMembership takes the next step of founding, joining or leaving, if one is due.
 func (s *Server) tickMembership(now time.Time) {
-	if !s.members.fresh || s.members.changing || now.Before(s.members.notBefore) {
+	if !s.members.loaded || s.members.changing || now.Before(s.members.notBefore) {
 		return
 	}
-	if !s.members.read.HasLayout {
+	if !s.members.registered.HasLayout {
 		s.found(now)
 		return
 	}
@@ -140,20 +141,20 @@
 	case replicaset.None:
 		s.tickLeaving(now)
 	case replicaset.Wait:
-		s.askAdoption(now, change.Reason)
+		s.requestAdoption(now, change.Reason)
 	default:
 		s.change(change)
 	}
 }
 
-// found writes the layout once no further replica registers.
+// found writes the layout once no further replica has registered for foundingDelay.
 func (s *Server) found(now time.Time) {
-	_, registered := s.members.read.Replicas[s.options.Node]
-	if s.members.leaving || !registered || now.Sub(s.members.newcomerAt) < foundingQuiet {
+	_, registered := s.members.registered.Replicas[s.options.Node]
+	if s.members.leaving || !registered || now.Sub(s.members.lastNewReplicaAt) < foundingDelay {
 		return
 	}
 	var nodes []replicaset.Node
-	for _, node := range s.members.read.Replicas {
+	for _, node := range s.members.registered.Replicas {
 		nodes = append(nodes, node)
 	}
 	layout := replicaset.NewLayout(nodes, s.options.Tolerate, s.options.Places)
@@ -167,10 +168,10 @@
 	})
 }
 
-// askAdoption asks the voters to adopt the present epoch.
-func (s *Server) askAdoption(now time.Time, reason string) {
-	if reason != s.members.reason {
-		s.members.reason = reason
+// requestAdoption asks the voters to adopt the current epoch, and logs what the change waits for.
+func (s *Server) requestAdoption(now time.Time, reason string) {
+	if reason != s.members.waitReason {
+		s.members.waitReason = reason
 		s.log.Info().Str("event", "membership_waits").Str("reason", reason).Uint64("epoch", s.members.set.Epoch).Msg("")
 	}
 	for _, peer := range s.peers {
@@ -185,25 +186,25 @@
 		Disks: map[string]string{s.options.Node: s.state.Disk()}, Adopted: map[string]bool{}, Unreachable: map[string]time.Duration{}, ReachableFrom: map[string]int{},
 	}
 	view.Adopted[s.state.Disk()] = s.state.Set().Epoch >= s.members.set.Epoch
-	for name, node := range s.members.read.Replicas {
+	for name, node := range s.members.registered.Replicas {
 		if name != s.options.Node {
 			view.Disks[name] = node.Disk
 		}
 	}
 	for _, voter := range s.members.set.Voters {
-		s.viewPeer(now, &view, voter)
+		s.addPeerView(now, &view, voter)
 	}
 	return view
 }
 
-// viewPeer adds what is known of another voter.
-func (s *Server) viewPeer(now time.Time, view *replicaset.View, voter replicaset.Voter) {
+// addPeerView adds what is known of a voter to the view.
+func (s *Server) addPeerView(now time.Time, view *replicaset.View, voter replicaset.Voter) {
 	peer := s.peers[voter.Node]
-	if peer != nil && peer.disk == voter.Disk && peer.adopted >= s.members.set.Epoch {
+	if peer != nil && peer.disk == voter.Disk && peer.adoptedEpoch >= s.members.set.Epoch {
 		view.Adopted[voter.Disk] = true
 	}
-	if away := s.unreachableFor(now, voter); away > 0 {
-		view.Unreachable[voter.Disk] = away
+	if duration := s.unreachableFor(now, voter); duration > 0 {
+		view.Unreachable[voter.Disk] = duration
 		return
 	}
 	for _, other := range s.members.set.Voters {
@@ -213,22 +214,23 @@
 	}
 }
 
-// unreachableFor returns how long a voter has been out of reach; 0 if it is in reach.
+// unreachableFor returns how long a voter has been unreachable; 0 if it is reachable.
 func (s *Server) unreachableFor(now time.Time, voter replicaset.Voter) time.Duration {
 	peer := s.peers[voter.Node]
 	switch {
 	case voter.Disk == s.state.Disk():
 		return 0
-	case peer == nil || peer.heardAt.IsZero():
+	case peer == nil || peer.lastReplyAt.IsZero():
 		return now.Sub(s.started)
-	case peer.up && now.Sub(peer.heardAt) <= replyLimit:
+	case peer.connected && now.Sub(peer.lastReplyAt) <= replyTimeout:
 		return 0
 	default:
-		return now.Sub(peer.heardAt)
+		return now.Sub(peer.lastReplyAt)
 	}
 }
 
-// silentVoters returns the disks of the voters that may be taken out as far as this replica hears.
+// silentVoters returns the disks of the voters that this replica could not reach for
+// UnreachableTimeout or longer.
 func (s *Server) silentVoters(now time.Time) []string {
 	var silent []string
 	for _, voter := range s.members.set.Voters {
@@ -239,7 +241,7 @@
 	return silent
 }
 
-// change writes the next set of the own cell.
+// change writes the next set of this replica's cell.
 func (s *Server) change(change replicaset.Change) {
 	revision := s.members.revision
 	name := replicaset.SetName(s.members.cell)
@@ -253,9 +255,9 @@
 	})
 }
 
-// write makes one conditional write in the background and reads the cell's set
-// again; the loop goes on serving.
-func (s *Server) write(what string, write func(context.Context) error) {
+// write runs one conditional write to the registry and then reads the cell's set, both in the
+// background. kind names the object in the log.
+func (s *Server) write(kind string, write func(context.Context) error) {
 	s.members.changing = true
 	name := replicaset.SetName(max(0, s.members.cell))
 	go func() {
@@ -264,39 +266,39 @@
 		err := write(ctx)
 		object, readErr := s.options.Registry.Get(ctx, name)
 		s.post(func() {
-			s.written(what, err)
+			s.writeDone(kind, err)
 			if readErr != nil || s.members.cell == replicaset.NoCell {
 				return
 			}
 			if set, err := replicaset.DecodeSet(object.Value); err == nil {
-				s.readSet(set, object.Revision)
+				s.applySet(set, object.Revision)
 			}
 		})
 	}()
 }
 
-// written notes the end of a write and when the next one may be tried.
-func (s *Server) written(what string, err error) {
+// writeDone records the result of a write and schedules the next attempt.
+func (s *Server) writeDone(kind string, err error) {
 	s.members.changing = false
 	if err == nil {
-		s.members.pause = changePauseFirst
+		s.members.backoff = minChangeBackoff
 		return
 	}
-	s.log.Warn().Str("event", "set_change_failed").Str("what", what).Err(err).Msg("")
-	s.members.pause = min(2*s.members.pause, changePauseMost)
-	s.members.notBefore = time.Now().Add(s.members.pause)
+	s.log.Warn().Str("event", "set_change_failed").Str("what", kind).Err(err).Msg("")
+	s.members.backoff = min(2*s.members.backoff, maxChangeBackoff)
+	s.members.notBefore = time.Now().Add(s.members.backoff)
 }
 
-// tickLeaving reports this machine empty once every reachable replica of the cell
-// holds all its turns and none is written to it any more.
+// tickLeaving completes leaving once leaveGrace has passed and every reachable replica of the cell
+// has stored all turns of this one.
 func (s *Server) tickLeaving(now time.Time) {
-	if !s.members.leaving || s.members.left == nil || now.Sub(s.members.leftAt) < leaveGrace {
+	if !s.members.leaving || s.members.onLeft == nil || now.Sub(s.members.leaveStartedAt) < leaveGrace {
 		return
 	}
 	holders := 0
 	for _, peer := range s.peers {
-		registered, known := s.members.read.Replicas[peer.node.Name]
-		if !known || registered.Leaving || !peer.up {
+		registered, known := s.members.registered.Replicas[peer.node.Name]
+		if !known || registered.Leaving || !peer.connected {
 			continue
 		}
 		if s.state.PeerPosition(peer.disk) < s.state.Position() {
@@ -308,20 +310,20 @@
 		return
 	}
 	s.log.Info().Str("event", "leave_complete").Int("holders", holders).Int("turns", s.state.Position()).Msg("")
-	s.members.left()
-	s.members.left = nil
+	s.members.onLeft()
+	s.members.onLeft = nil
 }
 
-// register describes this node in the registry, in the background, until that is
-// done or there is something newer to say.
+// register writes this node's description to the registry in the background. It retries until it
+// succeeds or is replaced by a newer registration.
 func (s *Server) register() {
 	if s.members.registration != nil {
 		s.members.registration()
 	}
 	ctx, cancel := context.WithCancel(s.context)
 	s.members.registration = cancel
-	own := s.own()
-	go replicaset.Register(ctx, s.options.Registry, own, s.options.LookupCached, func(err error) {
+	self := s.self()
+	go replicaset.Register(ctx, s.options.Registry, self, s.options.LookupCached, func(err error) {
 		s.log.Warn().Str("event", "register_failed").Err(err).Msg("")
 	})
 }
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -13,7 +13,7 @@
 	"swiftbank.dev/swiftbank/internal/quota"
 )
 
-// Metrics are a replica's counters in the Prometheus format.
+// Metrics are a replica's Prometheus metrics.
 type Metrics struct {
 	Registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -30,7 +30,7 @@
 	allowances   *prometheus.CounterVec
 	loansRefused prometheus.Counter
 	programsHeld prometheus.Counter
-	setAside     *prometheus.GaugeVec
+	reservations *prometheus.GaugeVec
 }
 
 // NewMetrics registers a replica's metrics.
@@ -71,16 +71,16 @@
 	m.programsHeld = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "swiftbank_replica_programs_held_total", Help: "Requests of new programs refused as home lender, for credit that is set aside for begun ones.", ConstLabels: labels,
 	})
-	m.setAside = prometheus.NewGaugeVec(prometheus.GaugeOpts{
+	m.reservations = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "swiftbank_replica_limit_set_aside", Help: "Requests that begun programs are likely to make still, of the tenants with most of them.", ConstLabels: labels,
 	}, []string{"tenant"})
-	m.Registry.MustRegister(m.allowances, m.loansRefused, m.programsHeld, m.setAside)
+	m.Registry.MustRegister(m.allowances, m.loansRefused, m.programsHeld, m.reservations)
 	m.Registry.MustRegister(m.feedAge, m.feedReading, m.store, m.requests, m.syncs, m.batch, m.epoch, m.turns, m.programs, m.bytes)
 	return m
 }
 
-// FeedAge notes how old the knowledge of the shared store is, and whether this process
-// reads the store itself.
+// FeedAge sets the age of the view of the shared store, and whether this process reads the
+// store itself.
 func (m *Metrics) FeedAge(seconds float64, reading bool) {
 	m.feedAge.Set(seconds)
 	m.feedReading.Set(0)
@@ -89,7 +89,7 @@
 	}
 }
 
-// StoreCall counts a call to the shared store; status 0 is a call without an answer.
+// StoreCall counts a call to the shared store; status 0 is a call without a response.
 func (m *Metrics) StoreCall(method string, status int) {
 	m.store.WithLabelValues(method, strconv.Itoa(status)).Inc()
 }
@@ -99,17 +99,17 @@
 	m.batch.Observe(float64(records))
 }
 
-// setAsideTenants bounds the series of set-asides.
-const setAsideTenants = 8
+// maxReservationSeries bounds the series of reservations, one per tenant.
+const maxReservationSeries = 8
 
-// observeSetAsides shows the largest set-asides.
-func (m *Metrics) observeSetAsides(asides map[string]float64) {
-	names := slices.SortedFunc(maps.Keys(asides), func(a, b string) int {
-		return cmp.Or(cmp.Compare(asides[b], asides[a]), cmp.Compare(a, b))
+// observeReservations exports the largest reservations by tenant.
+func (m *Metrics) observeReservations(reservations map[string]float64) {
+	names := slices.SortedFunc(maps.Keys(reservations), func(a, b string) int {
+		return cmp.Or(cmp.Compare(reservations[b], reservations[a]), cmp.Compare(a, b))
 	})
-	m.setAside.Reset()
-	for _, name := range names[:min(len(names), setAsideTenants)] {
-		m.setAside.WithLabelValues(name).Set(asides[name])
+	m.reservations.Reset()
+	for _, name := range names[:min(len(names), maxReservationSeries)] {
+		m.reservations.WithLabelValues(name).Set(reservations[name])
 	}
 }
 
@@ -138,14 +138,14 @@
 	}
 }
 
-// lent counts what a lender said.
-func (m *Metrics) lent(lent quota.Loan) {
-	m.allowances.WithLabelValues("waiting").Add(float64(lent.Waiting))
-	m.allowances.WithLabelValues("ahead").Add(float64(lent.Ahead))
+// observeLoan counts the allowances of a loan, or its refusal.
+func (m *Metrics) observeLoan(loan quota.Loan) {
+	m.allowances.WithLabelValues("waiting").Add(float64(loan.Waiting))
+	m.allowances.WithLabelValues("ahead").Add(float64(loan.Ahead))
 	switch {
-	case lent.Held:
+	case loan.Held:
 		m.programsHeld.Inc()
-	case lent.Wait > 0:
+	case loan.Wait > 0:
 		m.loansRefused.Inc()
 	}
 }
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -11,64 +11,67 @@
 )
 
 const (
-	// inventoryInterval is how often a replica asks another one for new turns.
+	// inventoryInterval is how often a replica requests the inventory of another one.
 	inventoryInterval = 250 * time.Millisecond
-	// replyLimit is how long a peer may say nothing before it counts as unreachable.
-	replyLimit = time.Second
-	// askAgainAfter is when an unanswered request is sent again on the same connection. A lost
-	// answer shows sooner by the end of the connection; a late one is on a full link, where a
-	// repetition would send the same bytes once more.
-	askAgainAfter = 5 * time.Second
-	// fetchLimit bounds the turns asked for at once.
+	// replyTimeout is how long a peer may send nothing before it counts as unreachable.
+	replyTimeout = time.Second
+	// requestRetryDelay is when an unanswered request is sent again on the same connection. A lost
+	// reply is detected earlier, because the connection ends; a late reply means a saturated link,
+	// on which a retry would transfer the same bytes again.
+	requestRetryDelay = 5 * time.Second
+	// fetchLimit is the maximum number of turns in one Fetch.
 	fetchLimit = 200
-	// handoverCharges is how many charges a peer hands over in one reply, some 20 KB: all of
-	// them are megabytes, and the link between regions carries them beside callers' turns.
-	handoverCharges = 400
+	// handoverLimit is the maximum number of charges in one reply, about 20 KB: all of them are
+	// megabytes, and they share the link between regions with callers' turns.
+	handoverLimit = 400
 )
 
-// peerState is what a replica knows of another one. It belongs to the loop.
+// peerState is what a replica knows of another one. Only the loop accesses it.
 type peerState struct {
-	server *Server
-	node   replicaset.Node
-	link   *peer.Link[ledger.Request, ledger.Reply]
-	up     bool
-	// heardAt is when the peer last said something; zero before.
-	heardAt time.Time
-	// disk is the disk it last answered with.
+	server    *Server
+	node      replicaset.Node
+	link      *peer.Link[ledger.Request, ledger.Reply]
+	connected bool
+	// lastReplyAt is when the peer last sent something; zero before that.
+	lastReplyAt time.Time
+	// disk is the peer's disk according to its last reply.
 	disk string
-	// boot and position say how far its turns are durable here.
+	// position is the position in the peer's inventory up to which its turns are durable here;
+	// boot is the run of the peer's process to which it belongs.
 	boot     string
 	position int
-	// missing are ids still to be fetched before next becomes the position.
-	missing  []string
-	nextBoot string
-	next     int
-	more     bool
-	askedAt  time.Time
-	asking   bool
-	// fetching are the turns it was asked for and has not sent.
+	// missing are the ids still to be fetched before nextPosition becomes the position;
+	// nextHasMore is set when the peer's inventory continues after it.
+	missing        []string
+	nextBoot       string
+	nextPosition   int
+	nextHasMore    bool
+	requestedAt    time.Time
+	requestPending bool
+	// fetching are the turns that were requested from the peer and not received yet.
 	fetching []string
-	// adopted is the epoch it confirmed durably while all its charges were merged here; place
-	// is how far they are, adoptAt when it was asked for more, zero once it answered.
-	adopted uint64
-	place   ledger.HandoverPosition
-	adoptAt time.Time
-	// silentVoters are the disks that it has not heard of for long.
+	// adoptedEpoch is the epoch that the peer confirmed durably, once all its charges are merged
+	// here. handover is the position up to which they are merged, adoptionRequestedAt when the
+	// next ones were requested, zero once it replied.
+	adoptedEpoch        uint64
+	handover            ledger.HandoverPosition
+	adoptionRequestedAt time.Time
+	// silentVoters are the disks of the voters that the peer reported as unreachable.
 	silentVoters []string
-	// silence is how long nothing has followed a question.
+	// silence detects that requests remain unanswered.
 	silence peer.SilenceDetector
 }
 
-// send queues a request to the peer, and notes since when an answer is awaited.
+// send queues a request to the peer and starts the silence detector.
 func (p *peerState) send(request ledger.Request) {
 	if p.link.Send(request) {
 		p.silence.RequestSent(time.Now())
 	}
 }
 
-// renewIfSilent replaces a connection on which nothing was answered for long.
-func (p *peerState) renewIfSilent(now time.Time) {
-	if !p.up || !p.silence.TimedOut(now) {
+// reconnectIfSilent replaces a connection on which requests remained unanswered for too long.
+func (p *peerState) reconnectIfSilent(now time.Time) {
+	if !p.connected || !p.silence.TimedOut(now) {
 		return
 	}
 	p.silence.Reset()
@@ -79,13 +82,13 @@
 // LinkUp implements peer.Handler.
 func (p *peerState) LinkUp() {
 	p.server.post(func() {
-		p.up = true
-		p.asking = false
+		p.connected = true
+		p.requestPending = false
 		p.silence.Reset()
 		p.stopFetching()
-		p.adoptAt = time.Time{}
-		own := p.server.own()
-		p.link.Send(ledger.Request{Hello: &own})
+		p.adoptionRequestedAt = time.Time{}
+		self := p.server.self()
+		p.link.Send(ledger.Request{Hello: &self})
 		p.server.log.Info().Str("event", "peer_connected").Str("peer", p.node.Name).Msg("")
 	})
 }
@@ -93,7 +96,7 @@
 // LinkDown implements peer.Handler.
 func (p *peerState) LinkDown(err error) {
 	p.server.post(func() {
-		p.up = false
+		p.connected = false
 		p.stopFetching()
 		p.server.log.Warn().Str("event", "peer_lost").Str("peer", p.node.Name).AnErr("error", err).Msg("")
 	})
@@ -110,7 +113,7 @@
 }
 
 func (p *peerState) receive(reply ledger.Reply) {
-	p.heardAt = time.Now()
+	p.lastReplyAt = time.Now()
 	p.silence.Reset()
 	p.disk = reply.Disk
 	switch {
@@ -119,8 +122,8 @@
 	case reply.Turns != nil:
 		p.receiveTurns(reply.Turns, reply.Cut)
 	case reply.Durable:
-		p.receiveAdopted(reply)
-	default: // a fetch of turns that the peer has dropped meanwhile
+		p.receiveAdoption(reply)
+	default: // the reply to a Fetch whose turns the peer has dropped
 		p.receiveTurns(nil, false)
 	}
 }
@@ -128,13 +131,13 @@
 func (p *peerState) receiveInventory(inventory ledger.InventoryReply) {
 	p.stopFetching()
 	p.silentVoters = inventory.Silent
-	p.nextBoot, p.next, p.more = inventory.Boot, inventory.Position, inventory.More
+	p.nextBoot, p.nextPosition, p.nextHasMore = inventory.Boot, inventory.Position, inventory.More
 	p.missing = p.server.state.Missing(inventory.IDs)
 	p.advance()
 }
 
-// receiveTurns stores fetched turns. Those asked for and not sent were dropped by the peer,
-// unless its reply was cut.
+// receiveTurns stores fetched turns. Requested turns that are not in the reply were dropped by the
+// peer, unless the reply was truncated.
 func (p *peerState) receiveTurns(turns []ledger.Turn, cut bool) {
 	records := p.server.state.StoreTurns(time.Now(), turns)
 	p.server.persist(records, nil)
@@ -149,86 +152,87 @@
 	p.advance()
 }
 
-// stopFetching lets other peers be asked for what this one was asked for.
+// stopFetching releases the claims on the requested turns, so that they can be fetched from other
+// peers.
 func (p *peerState) stopFetching() {
 	p.server.claims.release(p.node.Name, p.fetching)
 	p.fetching = nil
 }
 
-// advance fetches what is missing and no other peer is asked for, and once nothing is missing,
-// confirms the position when all records before it are durable.
+// advance fetches missing turns that no other peer has claimed. Once none is missing, it moves the
+// position when all records before it are durable.
 func (p *peerState) advance() {
 	p.missing = p.server.state.Missing(p.missing)
 	if len(p.missing) > 0 {
 		now := time.Now()
-		p.fetching = p.server.claims.take(now, p.node.Name, p.missing, fetchLimit)
+		p.fetching = p.server.claims.acquire(now, p.node.Name, p.missing, fetchLimit)
 		if len(p.fetching) > 0 {
-			p.askedAt = now
+			p.requestedAt = now
 			p.send(ledger.Request{Fetch: &ledger.Fetch{IDs: p.fetching}})
 		}
 		return
 	}
-	boot, position, more := p.nextBoot, p.next, p.more
+	boot, position, more := p.nextBoot, p.nextPosition, p.nextHasMore
 	p.server.persist(nil, func() {
 		p.server.post(func() {
-			p.boot, p.position, p.asking = boot, position, false
+			p.boot, p.position, p.requestPending = boot, position, false
 			if more {
-				p.ask(time.Now())
+				p.requestInventory(time.Now())
 			}
 		})
 	})
 }
 
-// tick asks for what is new. A replica that leaves asks for nothing more, or what
-// it has to hand over would never end.
+// tick requests new turns. A leaving replica requests none, because it could never finish handing
+// over its turns otherwise.
 func (p *peerState) tick(now time.Time) {
-	p.renewIfSilent(now)
-	if !p.up || p.server.members.leaving {
+	p.reconnectIfSilent(now)
+	if !p.connected || p.server.members.leaving {
 		return
 	}
-	if p.asking && now.Sub(p.askedAt) < askAgainAfter {
+	if p.requestPending && now.Sub(p.requestedAt) < requestRetryDelay {
 		if len(p.missing) > 0 && len(p.fetching) == 0 {
-			p.advance() // other peers were asked for all that is missing
+			p.advance() // so far, other peers had claimed all missing turns
 		}
 		return
 	}
 	p.stopFetching()
-	if now.Sub(p.askedAt) >= inventoryInterval {
-		p.ask(now)
+	if now.Sub(p.requestedAt) >= inventoryInterval {
+		p.requestInventory(now)
 	}
 }
 
-func (p *peerState) ask(now time.Time) {
-	p.asking = true
-	p.askedAt = now
+func (p *peerState) requestInventory(now time.Time) {
+	p.requestPending = true
+	p.requestedAt = now
 	p.send(ledger.Request{Inventory: &ledger.Inventory{
 		Boot: p.boot, After: p.position, From: p.server.state.Disk(),
 	}})
 }
 
-// requestAdoption asks the peer to adopt the set and to hand over its next charges.
+// requestAdoption asks the peer to adopt the set and requests its next charges.
 func (p *peerState) requestAdoption(now time.Time, set replicaset.Set) {
-	if !p.up || p.adopted >= set.Epoch || now.Sub(p.adoptAt) < askAgainAfter {
+	if !p.connected || p.adoptedEpoch >= set.Epoch || now.Sub(p.adoptionRequestedAt) < requestRetryDelay {
 		return
 	}
-	p.adoptAt = now
-	p.send(ledger.Request{Adopt: &ledger.Adopt{Set: set, Charges: handoverCharges, After: p.place, WithCharges: true}})
+	p.adoptionRequestedAt = now
+	p.send(ledger.Request{Adopt: &ledger.Adopt{Set: set, Charges: handoverLimit, After: p.handover, WithCharges: true}})
 }
 
-// receiveAdopted merges charges that the peer handed over, and asks for the next ones.
-func (p *peerState) receiveAdopted(reply ledger.Reply) {
+// receiveAdoption merges the charges of the peer and requests the next ones.
+func (p *peerState) receiveAdoption(reply ledger.Reply) {
 	records := p.server.state.MergeCharges(time.Now(), reply.Charges)
 	complete := true // replicas of the previous version hand over all charges in one reply
 	if reply.Handover != nil {
-		p.place, complete = p.place.Advance(*reply.Handover)
+		p.handover, complete = p.handover.Advance(*reply.Handover)
 	}
-	p.adoptAt = time.Time{}
+	p.adoptionRequestedAt = time.Time{}
 	if !complete {
 		p.server.persist(records, nil)
 		p.requestAdoption(time.Now(), p.server.members.set)
 		return
 	}
 	p.server.persist(records, func() {
-		p.server.post(func() { p.adopted = max(p.adopted, reply.Epoch) })
+		p.server.post(func() { p.adoptedEpoch = max(p.adoptedEpoch, reply.Epoch) })
 	})
 }
--- a/internal/replica/retirement.go
+++ b/internal/replica/retirement.go
@@ -6,13 +6,13 @@
 	"swiftbank.dev/swiftbank/internal/feed"
 )
 
-// Retirements takes the reports on machines that are emptied.
+// Retirements receives the progress of machines that are drained.
 type Retirements interface {
-	// ReportRetirement tries until the report is taken or the context ends.
+	// ReportRetirement retries until the report is accepted or the context ends.
 	ReportRetirement(ctx context.Context, node string, state feed.RetirementState)
 }
 
-// RetirementsChanged takes the operator's requests to empty machines, by node.
+// RetirementsChanged applies the operator's requests to drain machines, by node.
 func (s *Server) RetirementsChanged(states map[string]feed.RetirementState) {
 	state := states[s.options.Node]
 	if state == feed.NotRetiring || state == feed.RetirementCompleted {
@@ -29,7 +29,7 @@
 	})
 }
 
-// reportRetirement tells the operator in the background.
+// reportRetirement reports the progress to the operator in the background.
 func (s *Server) reportRetirement(state feed.RetirementState) {
 	s.log.Info().Str("event", "retirement_reported").Bool("complete", state == feed.RetirementCompleted).Msg("")
 	go s.options.Retirements.ReportRetirement(s.context, s.options.Node, state)
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -24,47 +24,47 @@
 )
 
 const (
-	// tickInterval drives catching up and membership.
+	// tickInterval is how often the loop drives catch-up and membership.
 	tickInterval = 50 * time.Millisecond
 	// purgeInterval is how often expired turns are dropped.
 	purgeInterval = 5 * time.Second
-	// inboxEvents is how many events may wait for the loop.
-	inboxEvents = 16384
-	// segmentShare is the part of the disk that one segment may fill; old and new
-	// segment stand side by side while the log is rotated.
-	segmentShare = 4
+	// inboxCapacity is the number of events that may wait for the loop.
+	inboxCapacity = 16384
+	// segmentDivisor is the divisor of the disk size that gives the size at which a segment is
+	// rotated; the old and the new segment exist side by side during rotation.
+	segmentDivisor = 4
 )
 
-// Options are what a replica is made of.
+// Options configure a replica.
 type Options struct {
 	Node string
 	Zone string
-	// Address is listened on; Advertised is where the others reach it. Feed is where it
-	// hands on what the shared store says, "" if it does not.
+	// Address is the address to listen on; Advertised is the one at which others reach it. Feed is
+	// the address at which it relays the content of the shared store, "" if it does not.
 	Address    string
 	Advertised string
 	Feed       string
 	DataFolder string
 	DiskMB     int
-	// MemoryMB is what the machine has; parts of it bound what waits here.
+	// MemoryMB is the memory of the machine, from which the limits of the queues are derived.
 	MemoryMB int
 	// Tolerate is how many machines with disks may be lost at once.
 	Tolerate int
-	// Places says which regions the zones belong to; nil where cells are not bound to regions.
+	// Places maps zones to regions; nil where cells are not bound to regions.
 	Places   place.Map
 	Registry registry.Registry
-	// LookupCached returns a registry object as far as it is known here without a call.
+	// LookupCached returns a registry object from the local view, without a call.
 	LookupCached func(name string) (registry.Object, bool)
 	Retirements  Retirements
 	Log          *log.Logger
 	Metrics      *Metrics
 	// Traffic counts what is sent to other processes.
 	Traffic *traffic.Counter
-	// Quota is how exactly the limits of tenants must hold.
+	// Quota configures how strictly the limits of tenants are enforced.
 	Quota quota.Policy
 }
 
-// Server is one replica. Its state belongs to the goroutine of Run.
+// Server is one replica. Only the goroutine of Run accesses its state.
 type Server struct {
 	options Options
 	log     *log.Logger
@@ -77,24 +77,25 @@
 	claims  *claims
 	members membership
 	context context.Context
-	// ended is closed when the loop takes no more work.
-	ended chan struct{}
+	// stopped is closed when the loop accepts no more work.
+	stopped chan struct{}
 
 	started time.Time
-	// life tells this life of the process from earlier ones.
-	life     string
+	// runID identifies this run of the process.
+	runID    string
 	purgedAt time.Time
 	// tickedAt is when the loop last ticked.
 	tickedAt time.Time
 	rotating bool
 }
 
-// New reads the disk. A disk without a log gets a new identity.
+// New returns a replica with the state that it reads from the disk. A disk without a log gets a new
+// identity.
 func New(options Options) (*Server, error) {
 	s := &Server{
 		options: options, log: options.Log,
-		inbox: make(chan func(), inboxEvents), peers: map[string]*peerState{}, claims: newClaims(), context: context.Background(),
-		ended: make(chan struct{}), lender: quota.NewLender(options.Quota),
+		inbox: make(chan func(), inboxCapacity), peers: map[string]*peerState{}, claims: newClaims(), context: context.Background(),
+		stopped: make(chan struct{}), lender: quota.NewLender(options.Quota),
 		limits: newLimits(options.MemoryMB),
 	}
 	if options.Metrics == nil {
@@ -102,8 +103,8 @@
 	}
 	began := time.Now()
 	s.started = began
-	s.life = uuid.NewString()
-	s.state = ledger.NewState("", s.life)
+	s.runID = uuid.NewString()
+	s.state = ledger.NewState("", s.runID)
 	lendings := quota.NewHistory(options.Quota)
 	folder := filepath.Join(options.DataFolder, "ledger")
 	disk, existed, err := wal.Open(folder, func(record ledger.Record) {
@@ -124,7 +125,7 @@
 		return nil, err
 	}
 	s.members.reader = replicaset.NewReader()
-	s.members.pause = changePauseFirst
+	s.members.backoff = minChangeBackoff
 	s.members.cell = replicaset.NoCell
 	s.syncer = newSyncer(disk, s.reportDisk, s.options.Metrics.observeSync)
 	turns, programs, bytes := s.state.Size()
@@ -134,11 +135,11 @@
 	return s, nil
 }
 
-// rotateAtStart starts a clean segment; a full disk may need a moment.
+// rotateAtStart starts a new segment. It retries, because a full disk may need time to free space.
 func rotateAtStart(disk *wal.Log[ledger.Record], snapshot []ledger.Record) error {
-	const tries = 100
+	const maxAttempts = 100
 	var err error
-	for range tries {
+	for range maxAttempts {
 		if err = disk.Rotate(snapshot); err == nil {
 			return nil
 		}
@@ -147,7 +148,7 @@
 	return err
 }
 
-func (s *Server) own() replicaset.Node {
+func (s *Server) self() replicaset.Node {
 	node := replicaset.Node{
 		Name: s.options.Node, Role: replicaset.RoleReplica, Address: s.options.Advertised,
 		Zone: s.options.Zone, Feed: s.options.Feed, Disk: s.state.Disk(), Leaving: s.members.leaving,
@@ -158,11 +159,11 @@
 	return node
 }
 
-// post hands work to the loop.
+// post passes work to the loop. After the loop has stopped, the work is dropped.
 func (s *Server) post(work func()) {
 	select {
 	case s.inbox <- work:
-	case <-s.ended:
+	case <-s.stopped:
 	}
 }
 
@@ -181,7 +182,7 @@
 	running.Go(func() { s.syncer.run(ctx) })
 	s.register()
 	s.loop(ctx)
-	close(s.ended)
+	close(s.stopped)
 	s.limits.inbox.Close()
 	cancel()
 	server.Close()
@@ -220,7 +221,7 @@
 // receive applies one request of a gateway or of another replica.
 func (s *Server) receive(from *peer.Connection[ledger.Reply], request ledger.Request) {
 	if request.Hello != nil {
-		s.meet(*request.Hello)
+		s.connectPeer(*request.Hello)
 		return
 	}
 	s.options.Metrics.count(request)
@@ -250,7 +251,7 @@
 	})
 }
 
-// logRequest writes what a request changed.
+// logRequest logs stale reservations, missing histories and adopted sets.
 func (s *Server) logRequest(request ledger.Request, output ledger.Output) {
 	switch {
 	case len(output.Immediate) > 0 && output.Immediate[0].Stale != nil:
@@ -265,32 +266,32 @@
 	}
 }
 
-// persist submits records and calls after once they, and all before them, are
-// durable. after runs outside the loop.
+// persist submits records and calls after once they, and all earlier ones, are durable.
+// after runs outside the loop.
 func (s *Server) persist(records []ledger.Record, after func()) {
 	s.syncer.submit(submission{records: records, after: after})
 }
 
 func (s *Server) tick(now time.Time) {
-	s.noticePause(now)
+	s.detectPause(now)
 	s.tickedAt = now
 	for _, peer := range s.peers {
 		peer.tick(now)
 	}
 	s.tickMembership(now)
-	s.tellLender(now)
+	s.updateLender(now)
 	if now.Sub(s.purgedAt) >= purgeInterval {
 		s.purgedAt = now
 		s.state.Purge(now)
 		s.options.Metrics.observeState(s.state)
-		s.options.Metrics.observeSetAsides(s.lender.Reservations(now))
+		s.options.Metrics.observeReservations(s.lender.Reservations(now))
 		s.rotateIfLarge()
 	}
 }
 
-// rotateIfLarge starts a new segment once the present one is large.
+// rotateIfLarge starts a new segment once the current one exceeds its share of the disk.
 func (s *Server) rotateIfLarge() {
-	limit := int64(s.options.DiskMB) << 20 / segmentShare
+	limit := int64(s.options.DiskMB) << 20 / segmentDivisor
 	if s.rotating || limit == 0 || s.syncer.size() < limit {
 		return
 	}
@@ -301,7 +302,7 @@
 	s.log.Info().Str("event", "log_rotated").Int64("bytes", s.syncer.size()).Msg("")
 }
 
-// reportDisk logs that the disk fails, or works again.
+// reportDisk logs that the disk fails (err is set) or works again.
 func (s *Server) reportDisk(err error) {
 	if err != nil {
 		s.log.Error().Str("event", "dependency_lost").Str("dependency", "disk").Err(err).Msg("")
@@ -310,8 +311,8 @@
 	s.log.Info().Str("event", "dependency_regained").Str("dependency", "disk").Msg("")
 }
 
-// meet connects to a replica that introduced itself.
-func (s *Server) meet(node replicaset.Node) {
+// connectPeer connects to a replica, unless it is connected at the same address already.
+func (s *Server) connectPeer(node replicaset.Node) {
 	known := s.peers[node.Name]
 	if node.Name == s.options.Node || known != nil && known.node.Address == node.Address {
 		return
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -13,29 +13,31 @@
 // retryDelay is the pause after a failed write to the disk.
 const retryDelay = 50 * time.Millisecond
 
-// submission is what waits for the disk: records, and what to do once they are
-// durable. A submission with a snapshot starts a new segment.
+// submission is a set of records to write, and a callback for when they are durable. A submission
+// with a snapshot starts a new segment.
 type submission struct {
 	records  []ledger.Record
 	snapshot []ledger.Record
 	after    func()
 }
 
-// syncer makes records durable in the order in which they were submitted, many
-// with one sync.
+// syncer makes records durable in the order in which they were submitted. It writes all that
+// are queued with one sync.
 type syncer struct {
 	log *wal.Log[ledger.Record]
-	// report is called when the disk begins to fail and when it works again.
+	// report is called with an error when the disk begins to fail, and with nil when it works
+	// again.
 	report func(err error)
-	// observe is called with the time of each sync and the records in it.
+	// observe is called with the duration of each sync and the number of its records.
 	observe func(took time.Duration, records int)
 
 	mu      sync.Mutex
 	waiting []submission
 	wake    chan struct{}
-	// held is about how many bytes are waiting or being written.
-	held int
-	// segmentBytes is the size of the present segment, for the owner of the state.
+	// queuedBytes estimates the bytes that are queued or being written.
+	queuedBytes int
+	// segmentBytes is the size of the current segment when the last batch was dequeued. The loop
+	// reads it under the mutex, because the log belongs to the goroutine of run.
 	segmentBytes int64
 }
 
@@ -46,7 +48,7 @@
 func (s *syncer) submit(item submission) {
 	s.mu.Lock()
 	s.waiting = append(s.waiting, item)
-	s.held += item.bytes()
+	s.queuedBytes += item.bytes()
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -54,7 +56,8 @@
 	}
 }
 
-// bytes is about what the submission holds. A snapshot's records are the state's own.
+// bytes estimates the memory of the submission's records. A snapshot counts as nothing, because
+// its records share the memory of the state.
 func (i submission) bytes() int {
 	size := 0
 	for _, record := range i.records {
@@ -63,35 +66,35 @@
 	return size
 }
 
-// waitingBytes is about what waits for the disk, and what is being written.
+// waitingBytes estimates the bytes that wait for the disk or are being written.
 func (s *syncer) waitingBytes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.queuedBytes
 }
 
-// written notes that submissions hold nothing any more.
-func (s *syncer) written(items []submission) {
+// release subtracts written submissions from the queued bytes.
+func (s *syncer) release(items []submission) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, item := range items {
-		s.held -= item.bytes()
+		s.queuedBytes -= item.bytes()
 	}
 }
 
-// size returns the bytes of the present segment.
+// size returns the size of the current segment in bytes.
 func (s *syncer) size() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.segmentBytes
 }
 
-// run works until the context ends. What was not durable by then was never
+// run writes submissions until the context ends. Records that are not durable by then were never
 // acknowledged.
 func (s *syncer) run(ctx context.Context) {
 	failing := false
 	for {
-		items := s.take()
+		items := s.dequeue()
 		if len(items) == 0 {
 			select {
 			case <-s.wake:
@@ -113,7 +116,7 @@
 			failing = false
 			s.report(nil)
 		}
-		s.written(items)
+		s.release(items)
 		for _, item := range items {
 			if item.after != nil {
 				item.after()
@@ -122,21 +125,21 @@
 	}
 }
 
-// take removes what waits, up to and including the first snapshot.
-func (s *syncer) take() []submission {
+// dequeue removes and returns the queued submissions, up to and including the first snapshot.
+func (s *syncer) dequeue() []submission {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.segmentBytes = s.log.Size()
 	for i, item := range s.waiting {
 		if item.snapshot != nil {
-			taken := s.waiting[:i+1]
+			batch := s.waiting[:i+1]
 			s.waiting = append([]submission(nil), s.waiting[i+1:]...)
-			return taken
+			return batch
 		}
 	}
-	taken := s.waiting
+	batch := s.waiting
 	s.waiting = nil
-	return taken
+	return batch
 }
 
 func (s *syncer) write(items []submission) error {
@@ -152,7 +155,7 @@
 		s.observe(time.Since(began), len(records))
 	}
 	if snapshot := items[len(items)-1].snapshot; snapshot != nil {
-		// The old segment stays in use if there is no room for a new one.
+		// The old segment remains in use if the disk has no space for a new one.
 		if err := s.log.Rotate(snapshot); err != nil {
 			s.report(err)
 		}
