--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -13,7 +13,7 @@
 const (
 	// registryTimeout bounds one call to the registry.
 	registryTimeout = 2 * time.Second
-	// minChangeBackoff and changePauseMost bound the backoff after a failed change.
+	// minChangeBackoff and maxChangeBackoff bound the backoff after a failed change.
 	minChangeBackoff = 50 * time.Millisecond
 	maxChangeBackoff = time.Second
 	// foundingDelay is how long no further replica may have registered before the
--- a/internal/replicaset/founding_test.go
+++ b/internal/replicaset/founding_test.go
@@ -11,12 +11,13 @@
 
 var twoRegions = place.Map{"x": "east", "y": "east", "z": "east", "u": "west", "v": "west", "w": "west"}
 
-func TestALayoutFoundsCellsForEachRegion(t *testing.T) {
+func TestNewLayoutFoundsCellsForEachRegion(t *testing.T) {
 	cases := map[string]struct {
 		zones    []string
 		tolerate int
 		places   place.Map
-		// regions and voters of each cell; losses that each bears without a stop.
+		// regions, voters and losses are the region, the number of voters and the tolerated losses
+		// of each cell.
 		regions []string
 		voters  []int
 		losses  []int
@@ -51,7 +52,7 @@
 				}
 			}
 			slices.Reverse(nodes)
-			require.Equal(t, layout, NewLayout(nodes, c.tolerate, c.places), "whoever founds them, the cells are the same")
+			require.Equal(t, layout, NewLayout(nodes, c.tolerate, c.places), "the layout does not depend on the order of the nodes")
 			decoded, err := DecodeLayout(layout.Encode())
 			require.NoError(t, err)
 			require.Equal(t, layout, decoded)
@@ -59,22 +60,22 @@
 	}
 }
 
-func TestALayoutWithoutRegionsIsRead(t *testing.T) {
-	earlier, err := DecodeLayout([]byte(`{"cells":1,"founding":[{"epoch":1,"voters":[{"node":"a","disk":"d"}]}]}`))
+func TestDecodeLayoutWithoutRegions(t *testing.T) {
+	layout, err := DecodeLayout([]byte(`{"cells":1,"founding":[{"epoch":1,"voters":[{"node":"a","disk":"d"}]}]}`))
 	require.NoError(t, err)
-	require.Empty(t, earlier.Region(0))
-	require.Empty(t, earlier.CellsIn("east"))
+	require.Empty(t, layout.Region(0))
+	require.Empty(t, layout.CellsIn("east"))
 	_, err = DecodeLayout([]byte(`{"cells":1,"founding":[{}],"regions":["east","west"]}`))
-	require.Error(t, err, "a region for each cell")
+	require.Error(t, err, "the number of regions differs from the number of cells")
 }
 
-func TestANewcomerJoinsACellOfItsRegion(t *testing.T) {
+func TestChooseCellPrefersOwnRegion(t *testing.T) {
 	layout := Layout{Cells: 2, Regions: []string{"east", "west"}}
 	sets := []Set{{Voters: voters("a", "b", "c", "d", "e")}, {Voters: voters("f")}}
 	fresh := Node{Name: "new", Disk: "new", Zone: "x"}
-	require.Equal(t, 0, ChooseCell(fresh, "east", layout, sets, nil), "though the other one has fewer voters")
+	require.Equal(t, 0, ChooseCell(fresh, "east", layout, sets, nil), "although the other cell has fewer voters")
 	require.Equal(t, 1, ChooseCell(fresh, "west", layout, sets, nil))
-	require.Equal(t, 1, ChooseCell(fresh, "north", layout, sets, nil), "a region without a cell helps where the fewest are")
+	require.Equal(t, 1, ChooseCell(fresh, "north", layout, sets, nil), "a node of a region without a cell joins the cell with the fewest voters")
 	returned := Node{Name: "f", Disk: "new", Zone: "x"}
-	require.Equal(t, 1, ChooseCell(returned, "east", layout, sets, nil), "a machine stays where it was")
+	require.Equal(t, 1, ChooseCell(returned, "east", layout, sets, nil), "a machine stays in its cell")
 }
--- a/internal/replicaset/layout.go
+++ b/internal/replicaset/layout.go
@@ -10,23 +10,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A cell is a replica set of its own: a few machines in different zones that keep
+// A cell is a replica set of its own: a few machines in different zones that store
 // the turns and charges of the programs that hash to it. The number of cells is
-// fixed when the first replicas found them; machines that come later join cells.
+// fixed when the first replicas found them; machines that are added later join existing cells.
 
 const (
-	// LayoutName is the registry object that holds the layout.
+	// LayoutName is the name of the registry object that holds the layout.
 	LayoutName = "replica-layout"
-	// setPrefix begins the names of the registry objects that hold the cells' sets.
+	// setPrefix is the prefix of the names of the registry objects that hold the cells' sets.
 	setPrefix = "replica-set-"
-	// smallestCell is how many machines a cell has at least, where there are as many.
-	smallestCell = 4
+	// minCellSize is the minimum number of machines per cell, unless there are fewer in all.
+	minCellSize = 4
 )
 
-// NoCell is the cell of a node that has none yet.
+// NoCell is the cell of a node that has not been assigned to one yet.
 const NoCell = -1
 
-// Layout is written once, by the first replica that finds none.
+// Layout is the division of the replicas into cells. It is written once, by the first replica that
+// finds none in the registry.
 type Layout struct {
 	// Cells is the number of cells.
 	Cells int `json:"cells"`
@@ -49,13 +50,13 @@
 	return cell, err == nil
 }
 
-// Encode returns the form kept in the registry.
+// Encode returns the layout as stored in the registry.
 func (l Layout) Encode() []byte {
 	content, _ := json.Marshal(l) // plain strings and numbers always encode
 	return content
 }
 
-// DecodeLayout reads the form kept in the registry.
+// DecodeLayout decodes a layout that is stored in the registry.
 func DecodeLayout(content []byte) (Layout, error) {
 	var layout Layout
 	if err := json.Unmarshal(content, &layout); err != nil {
@@ -70,37 +71,38 @@
 	return layout, nil
 }
 
-// CellOf returns the cell that keeps a program.
+// CellOf returns the cell that stores a program.
 func CellOf(program string, cells int) int {
 	return int(xxhash.Sum64String(program) % uint64(cells))
 }
 
 // ChooseCell returns the cell that a replica belongs to: the one whose set names
 // its disk or its machine, else the one it registered for before, else the one with
-// the fewest voters, preferring one without a machine of its zone. Where cells are bound
-// to regions, a newcomer joins one of its own region, if there is one.
-func ChooseCell(own Node, ownRegion string, layout Layout, sets []Set, zones map[string]string) int {
+// the fewest voters, and of these the one with the fewest machines in its zone. Where cells are
+// bound to regions, a new replica joins a cell of its region, if there is one. zones maps nodes to
+// zones.
+func ChooseCell(node Node, region string, layout Layout, sets []Set, zones map[string]string) int {
 	for cell, set := range sets {
-		if slices.ContainsFunc(set.Voters, func(v Voter) bool { return v.Disk == own.Disk || v.Node == own.Name }) {
+		if slices.ContainsFunc(set.Voters, func(v Voter) bool { return v.Disk == node.Disk || v.Node == node.Name }) {
 			return cell
 		}
 	}
-	if own.HasCell() && *own.Cell < len(sets) {
-		return *own.Cell
+	if node.HasCell() && *node.Cell < len(sets) {
+		return *node.Cell
 	}
-	candidates := layout.CellsIn(ownRegion)
+	candidates := layout.CellsIn(region)
 	best, bestRank := NoCell, [2]int{}
 	for cell, set := range sets {
 		if len(candidates) > 0 && !slices.Contains(candidates, cell) {
 			continue
 		}
-		neighbours := 0
+		sameZone := 0
 		for _, voter := range set.Voters {
-			if zones[voter.Node] == own.Zone {
-				neighbours++
+			if zones[voter.Node] == node.Zone {
+				sameZone++
 			}
 		}
-		rank := [2]int{len(set.Voters), neighbours}
+		rank := [2]int{len(set.Voters), sameZone}
 		if best == NoCell || slices.Compare(rank[:], bestRank[:]) < 0 {
 			best, bestRank = cell, rank
 		}
@@ -108,13 +110,13 @@
 	return max(best, 0)
 }
 
-// Membership is the registry's content in the product's terms.
+// Membership is the decoded content of the registry.
 type Membership struct {
-	// HasLayout is false while no cells were founded.
+	// HasLayout is false until the cells are founded.
 	HasLayout bool
 	Layout    Layout
-	// Sets holds the newest set of each cell, with Revisions of their objects; a cell
-	// whose object is not written yet has its founding set and revision 0.
+	// Sets holds the newest set of each cell, Revisions the revisions of their objects. A cell
+	// whose object has not been written yet has its founding set and revision 0.
 	Sets      []Set
 	Revisions []uint64
 	Replicas  map[string]Node
--- a/internal/replicaset/plan.go
+++ b/internal/replicaset/plan.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// UnreachableTimeout is how long a voter must be out of reach before it may be taken
-// out of the set. Its disk stays a source of records, and it joins again when it
+// UnreachableTimeout is how long a voter must be unreachable before it may be removed
+// from the set. Its disk remains a source of records, and it rejoins when it
 // returns.
 const UnreachableTimeout = 2 * time.Second
 
-// absentLimit is how long a voter must be out of reach before it is taken out even where the
-// set bears it. Its disk cannot be told from one that is gone for good: as long as it is a
-// voter, two more lost disks of five leave too few to agree on anything, it holds its share of
-// every tenant's limit, and it is one loss of those that the set bears. Longer than a machine
-// takes to start again, and no longer than a successor has to catch up.
-const absentLimit = 5 * time.Second
+// removalTimeout is how long a voter must be unreachable before it is removed even if the set
+// tolerates its absence. Its disk cannot be distinguished from a lost one: while it is a voter, it
+// counts as one of the losses that the set tolerates, two more lost disks of five leave no quorum,
+// and its share of every tenant's limit is unused. The timeout is longer than the restart of a
+// machine, and no longer than a new voter takes to catch up.
+const removalTimeout = 5 * time.Second
 
-// View is what a replica knows when it decides on the membership.
+// View is a replica's knowledge of its cell, from which it plans changes of the membership.
 type View struct {
 	// Self is this replica.
 	Self Voter
-	// Set is the newest set of the own cell.
+	// Set is the newest set of this replica's cell.
 	Set Set
 	// Disks maps each node to the disk it last registered.
 	Disks map[string]string
 	// Adopted holds the disks that confirmed the set's epoch and whose charges this
-	// replica has read since.
+	// replica has read since then.
 	Adopted map[string]bool
-	// Unreachable is how long each disk has been out of reach; zero for those in reach.
+	// Unreachable is how long each disk has been unreachable; zero for reachable ones.
 	Unreachable map[string]time.Duration
-	// ReachableFrom is how many other voters in reach said of late that they hear of each disk.
+	// ReachableFrom is the number of other reachable voters that last reported each disk as
+	// reachable.
 	ReachableFrom map[string]int
 	// Tolerate is how many voters may be lost at once.
 	Tolerate int
-	// Leaving is set once this machine is to be emptied.
+	// Leaving is set once this machine is to be drained.
 	Leaving bool
 }
 
-// ChangeKind is what a Change does.
+// ChangeKind is the type of a Change.
 type ChangeKind uint8
 
 // The changes of a membership.
 const (
 	// None means that there is nothing to do.
 	None ChangeKind = iota
-	// Wait means that a change is due but may not be made yet.
+	// Wait means that a change is due but not allowed yet.
 	Wait
-	// Remove takes one voter out.
+	// Remove removes one voter.
 	Remove
 	// Add makes this replica a voter.
 	Add
@@ -57,11 +58,11 @@
 type Change struct {
 	Kind ChangeKind
 	Next Set
-	// Reason is for the log.
+	// Reason explains the change in the log.
 	Reason string
 }
 
-// Plan returns the next step that this replica may make.
+// Plan returns the next change that this replica may make.
 func Plan(view View) Change {
 	if view.Set.Has(view.Self.Disk) {
 		return planMember(view)
@@ -72,60 +73,60 @@
 	return planJoin(view)
 }
 
-// planMember lets a leaving voter take itself out, and any voter take out another
-// one that weighs the quorum down.
+// planMember plans the next change of a voter: a leaving voter removes itself, any other may remove
+// an unreachable voter.
 func planMember(view View) Change {
 	if view.Leaving {
 		if len(view.Set.Voters) == 1 || !adoptedByQuorum(view) {
 			return Change{Kind: Wait, Reason: "the epoch is not adopted by a quorum"}
 		}
-		return Change{Kind: Remove, Next: view.Set.Without(view.Self.Disk), Reason: "this machine is to be emptied"}
+		return Change{Kind: Remove, Next: view.Set.Without(view.Self.Disk), Reason: "this machine is being drained"}
 	}
-	silent, due := silentVoter(view)
+	removed, due := voterToRemove(view)
 	if !due {
 		return Change{Kind: None}
 	}
 	if !adoptedByQuorum(view) {
 		return Change{Kind: Wait, Reason: "the epoch is not adopted by a quorum"}
 	}
-	return Change{Kind: Remove, Next: view.Set.Without(silent.Disk), Reason: "out of reach, and the rest tolerates a loss without it"}
+	return Change{Kind: Remove, Next: view.Set.Without(removed.Disk), Reason: "unreachable, and the remaining voters tolerate a loss without it"}
 }
 
-// silentVoter returns a voter out of reach that should leave the set: with the
-// silent voters in it, the rest could not lose another one; without them, it could.
-// Where that gains nothing, a silent voter stays for absentLimit, for it may return before
-// others go; after that it leaves as long as a quorum of the rest outnumbers the losses to be
-// borne.
-func silentVoter(view View) (Voter, bool) {
-	var silent []Voter
+// voterToRemove returns an unreachable voter that should be removed from the set, if there is one.
+// That is the case if the reachable voters could not lose the tolerated number as long as the
+// unreachable ones count, and could do so without them. Otherwise an unreachable voter stays for
+// removalTimeout, because it may return before others fail; after that it is removed if a quorum of
+// the reachable voters is larger than the tolerated number of losses.
+func voterToRemove(view View) (Voter, bool) {
+	var absent []Voter
 	for _, voter := range view.Set.Voters {
 		if voter != view.Self && view.Unreachable[voter.Disk] >= UnreachableTimeout {
-			silent = append(silent, voter)
+			absent = append(absent, voter)
 		}
 	}
-	if len(silent) == 0 {
+	if len(absent) == 0 {
 		return Voter{}, false
 	}
-	present := len(view.Set.Voters) - len(silent)
-	silent = slices.DeleteFunc(silent, func(voter Voter) bool { return heardByMost(view, voter, present) })
-	if len(silent) == 0 {
+	reachable := len(view.Set.Voters) - len(absent)
+	absent = slices.DeleteFunc(absent, func(voter Voter) bool { return isReachableFromMajority(view, voter, reachable) })
+	if len(absent) == 0 {
 		return Voter{}, false
 	}
-	rest := Set{Voters: make([]Voter, present)}
-	for _, voter := range silent {
-		if view.Unreachable[voter.Disk] >= absentLimit && rest.Quorum() > view.Tolerate {
+	remaining := Set{Voters: make([]Voter, reachable)}
+	for _, voter := range absent {
+		if view.Unreachable[voter.Disk] >= removalTimeout && remaining.Quorum() > view.Tolerate {
 			return voter, true
 		}
 	}
-	spare := present - view.Tolerate
-	return silent[0], spare < view.Set.Quorum() && spare >= rest.Quorum()
+	afterLosses := reachable - view.Tolerate
+	return absent[0], afterLosses < view.Set.Quorum() && afterLosses >= remaining.Quorum()
 }
 
-// heardByMost reports whether more than half of the other voters in reach hear of a voter that this
-// one does not: the path between the two is cut, and each would take the other out, join again and
-// take it out once more.
-func heardByMost(view View, voter Voter, present int) bool {
-	return 2*view.ReachableFrom[voter.Disk] > present-1
+// isReachableFromMajority reports whether more than half of the other reachable voters can reach a voter
+// that this one cannot. Then only the path between the two is cut, and removing the voter would make
+// the two remove each other and rejoin in turn.
+func isReachableFromMajority(view View, voter Voter, reachable int) bool {
+	return 2*view.ReachableFrom[voter.Disk] > reachable-1
 }
 
 func planJoin(view View) Change {
@@ -133,27 +134,27 @@
 		return Change{Kind: Wait, Reason: "the epoch is not adopted by a quorum"}
 	}
 	for _, voter := range view.Set.Voters {
-		if len(view.Set.Voters) > 1 && lost(view, voter) {
-			return Change{Kind: Remove, Next: view.Set.Without(voter.Disk), Reason: "its machine returned with another disk"}
+		if len(view.Set.Voters) > 1 && isDiskLost(view, voter) {
+			return Change{Kind: Remove, Next: view.Set.Without(voter.Disk), Reason: "its machine registered another disk"}
 		}
 	}
 	return Change{Kind: Add, Next: view.Set.With(view.Self), Reason: "caught up"}
 }
 
-// lost reports whether a voter's disk is known to be gone for good: its machine
+// isDiskLost reports whether a voter's disk is known to be lost permanently, because its machine
 // registered another one.
-func lost(view View, voter Voter) bool {
+func isDiskLost(view View, voter Voter) bool {
 	disk, known := view.Disks[voter.Node]
 	return known && disk != voter.Disk
 }
 
-// adoptedByQuorum reports whether enough voters adopted the present epoch and
-// handed over their charges. Disks that are lost for good cannot answer; when the
-// rest is smaller than a quorum, all of the rest must have answered.
+// adoptedByQuorum reports whether enough voters adopted the current epoch and
+// handed over their charges. Lost disks cannot answer; if fewer than a quorum remain,
+// all of the remaining ones must have answered.
 func adoptedByQuorum(view View) bool {
 	adopted, remaining := 0, 0
 	for _, voter := range view.Set.Voters {
-		if lost(view, voter) {
+		if isDiskLost(view, voter) {
 			continue
 		}
 		remaining++
--- a/internal/replicaset/plan_test.go
+++ b/internal/replicaset/plan_test.go
@@ -39,52 +39,52 @@
 	cases := map[string]struct {
 		view View
 		want ChangeKind
-		// gone is the voter that the next set lacks.
-		gone string
+		// removed is the disk of the voter that the next set lacks.
+		removed string
 	}{
-		"a newcomer waits for a quorum to adopt the epoch": {
+		"new replica waits until a quorum has adopted the epoch": {
 			View{Self: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a")}, Wait, ""},
-		"a newcomer joins once a quorum has": {
+		"new replica joins once a quorum has adopted the epoch": {
 			View{Self: own, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("a", "b")}, Add, ""},
-		"a machine that lost its disk first takes out the old one": {
+		"machine with a new disk first removes its old disk": {
 			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b", "c"), Disks: map[string]string{"a": "new"}}, Remove, "disk-a"},
-		"a quorum that has lost a disk needs all that remain": {
+		"quorum without a lost disk needs all remaining voters": {
 			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("b"), Disks: map[string]string{"a": "new"}}, Wait, ""},
-		"lost disks cannot be waited for": {
+		"lost disks need not adopt the epoch": {
 			View{Self: Voter{"a", "new"}, Set: Set{3, voters("a", "b", "c")}, Adopted: adopted("c"), Disks: map[string]string{"a": "new", "b": "newer"}}, Remove, "disk-a"},
-		"a silent one of three stays, for two could not lose another": {
+		"unreachable voter of three stays because two cannot lose another": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c")}, None, ""},
-		"a silent one of four leaves, for three can lose another": {
+		"unreachable voter of four is removed because three can lose another": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "d")}, Remove, "disk-d"},
-		"not without a quorum that adopted the epoch": {
+		"removal waits until a quorum has adopted the epoch": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "d")}, Wait, ""},
-		"a short outage is nothing": {
+		"short outage is ignored": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(time.Second, "d")}, None, ""},
-		"of six with two dead, one leaves": {
+		"one of two unreachable voters of six is removed": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e", "f")}, Adopted: adopted("own", "b", "c", "d"), Unreachable: unreachable(long, "e", "f")}, Remove, "disk-e"},
-		"of five one that is silent for seconds stays, for the rest bears another loss": {
+		"unreachable voter of five stays for seconds because the rest tolerates another loss": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(long, "e")}, None, ""},
-		"of five one that stays away leaves": {
+		"unreachable voter of five is removed after the removal timeout": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
-		"of three one that stays away leaves, or one more lost disk could not be told from it": {
+		"unreachable voter of three is removed after the removal timeout": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, Remove, "disk-c"},
-		"so does one of five though two losses are to be borne": {
+		"unreachable voter of five is removed after the removal timeout, tolerating two losses": {
 			View{Self: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e")}, Remove, "disk-e"},
-		"of three all stay where two losses are to be borne": {
+		"unreachable voter of three stays when tolerating two losses": {
 			View{Self: own, Tolerate: 2, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c")}, None, ""},
-		"not without a quorum that adopted the epoch, however long it is away": {
+		"removal after the removal timeout waits until a quorum has adopted the epoch": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "e")}, Wait, ""},
-		"in a half no one is taken out": {
+		"half of the voters removes no voter": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d")}, Adopted: adopted("own", "b"), Unreachable: unreachable(long, "c", "d")}, None, ""},
-		"one that others hear stays, for only the path to it is cut": {
+		"voter that is reachable from others stays because only the path to it is cut": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b"), Unreachable: unreachable(absent, "c"), ReachableFrom: map[string]int{"disk-c": 1}}, None, ""},
-		"one that hardly anybody hears leaves": {
+		"voter that is reachable from a minority is removed": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "e"), ReachableFrom: map[string]int{"disk-e": 1}}, Remove, "disk-e"},
-		"a dead one leaves though another one is only cut off from here": {
+		"failed voter is removed while the path to another one is cut": {
 			View{Self: own, Tolerate: 1, Set: Set{3, voters("own", "b", "c", "d", "e")}, Adopted: adopted("own", "b", "c"), Unreachable: unreachable(absent, "d", "e"), ReachableFrom: map[string]int{"disk-d": 2}}, Remove, "disk-e"},
-		"a leaving voter takes itself out": {
+		"leaving voter removes itself": {
 			View{Self: own, Leaving: true, Set: Set{3, voters("own", "b", "c")}, Adopted: adopted("own", "b")}, Remove, "disk-own"},
-		"the last voter cannot leave": {
+		"last voter cannot leave": {
 			View{Self: own, Leaving: true, Set: Set{3, voters("own")}, Adopted: adopted("own")}, Wait, ""},
 	}
 	for name, c := range cases {
@@ -94,11 +94,11 @@
 			if change.Next.Epoch > 0 {
 				require.Equal(t, c.view.Set.Epoch+1, change.Next.Epoch)
 				difference := len(change.Next.Voters) - len(c.view.Set.Voters)
-				require.Contains(t, []int{-1, 1}, difference, "neighbouring epochs differ by one voter")
+				require.Contains(t, []int{-1, 1}, difference, "adjacent epochs differ by one voter")
 			}
-			if c.gone != "" {
-				require.True(t, c.view.Set.Has(c.gone))
-				require.False(t, change.Next.Has(c.gone))
+			if c.removed != "" {
+				require.True(t, c.view.Set.Has(c.removed))
+				require.False(t, change.Next.Has(c.removed))
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestSetSurvivesTheRegistry(t *testing.T) {
+func TestSetEncodesAndDecodes(t *testing.T) {
 	set := Set{Epoch: 7, Voters: voters("a", "b")}
 	decoded, err := DecodeSet(set.Encode())
 	require.NoError(t, err)
@@ -129,7 +129,7 @@
 	return nodes
 }
 
-func TestALayoutSpreadsEachCellOverTheZones(t *testing.T) {
+func TestNewLayoutSpreadsEachCellOverZones(t *testing.T) {
 	require.Equal(t, 1, NewLayout(nodesIn("x", "y", "z"), 1, nil).Cells)
 	require.Equal(t, 1, NewLayout(nodesIn("x", "y", "z", "x", "y", "z", "x"), 1, nil).Cells)
 	nodes := nodesIn("x", "x", "y", "y", "z", "z", "w", "w")
@@ -153,19 +153,19 @@
 	require.Error(t, err)
 }
 
-func TestAReplicaFindsItsCell(t *testing.T) {
+func TestChooseCell(t *testing.T) {
 	sets := []Set{{Epoch: 3, Voters: voters("a", "b", "c")}, {Epoch: 1, Voters: voters("d", "e")}}
 	registered := 0
-	require.Equal(t, 1, ChooseCell(Node{Name: "other", Disk: "disk-d"}, "", Layout{}, sets, nil), "by its disk")
-	require.Equal(t, 0, ChooseCell(Node{Name: "b", Disk: "new"}, "", Layout{}, sets, nil), "by its machine")
-	require.Equal(t, 0, ChooseCell(Node{Name: "f", Disk: "new", Cell: &registered}, "", Layout{}, sets, nil), "as it registered")
-	require.Equal(t, 1, ChooseCell(Node{Name: "f", Disk: "new"}, "", Layout{}, sets, nil), "where the fewest are")
+	require.Equal(t, 1, ChooseCell(Node{Name: "other", Disk: "disk-d"}, "", Layout{}, sets, nil), "the cell whose set names its disk")
+	require.Equal(t, 0, ChooseCell(Node{Name: "b", Disk: "new"}, "", Layout{}, sets, nil), "the cell whose set names its machine")
+	require.Equal(t, 0, ChooseCell(Node{Name: "f", Disk: "new", Cell: &registered}, "", Layout{}, sets, nil), "the cell it registered for")
+	require.Equal(t, 1, ChooseCell(Node{Name: "f", Disk: "new"}, "", Layout{}, sets, nil), "the cell with the fewest voters")
 	sets[1].Voters = voters("d", "e", "f")
 	zones := map[string]string{"a": "x", "d": "y"}
-	require.Equal(t, 1, ChooseCell(Node{Name: "g", Disk: "new", Zone: "x"}, "", Layout{}, sets, zones), "where its zone is missing")
+	require.Equal(t, 1, ChooseCell(Node{Name: "g", Disk: "new", Zone: "x"}, "", Layout{}, sets, zones), "the cell without a voter in its zone")
 }
 
-func TestReadPrefersACellsSetToTheFoundingOne(t *testing.T) {
+func TestReadPrefersCellSetToFoundingSet(t *testing.T) {
 	layout := NewLayout(nodesIn("x", "x", "y", "y", "z", "z", "w", "w"), 1, nil)
 	changed := layout.Founding[1].Without(layout.Founding[1].Voters[0].Disk)
 	read := NewReader().Read([]registry.Object{
--- a/internal/replicaset/read.go
+++ b/internal/replicaset/read.go
@@ -7,28 +7,27 @@
 	"swiftbank.dev/swiftbank/internal/registry"
 )
 
-// Reader translates the registry's objects time after time. Each object is decoded once a
-// revision: every process reads the whole list with each change of it, so a fleet of n
-// processes that start would decode n descriptions n times in each of them. At 985 processes
-// that was a third of their processor time while they started (sampled on a fleet of that
-// size). It is not safe for concurrent use.
+// Reader decodes the registry's objects. It decodes each object once per revision: every process
+// reads the whole list on each change of it, so when a fleet of n processes starts, each would
+// decode n descriptions n times. In a fleet of 985 processes, that took a third of their CPU time
+// during startup. A Reader is not safe for concurrent use.
 type Reader struct {
-	// nodes holds the descriptions decoded last, by the name of their object.
+	// nodes caches the decoded descriptions by the name of their object.
 	nodes map[string]decodedNode
 }
 
-// decodedNode is a node's description at a revision of its object.
+// decodedNode is a node's description at one revision of its object.
 type decodedNode struct {
 	revision uint64
 	node     Node
-	// readable is false for an object that describes no node.
-	readable bool
+	// valid is false if the object does not describe a node.
+	valid bool
 }
 
-// NewReader returns a reader that has decoded nothing yet.
+// NewReader returns a reader with an empty cache.
 func NewReader() *Reader { return &Reader{nodes: map[string]decodedNode{}} }
 
-// Read translates all of the registry's objects. Objects that cannot be read are left out.
+// Read decodes all of the registry's objects. Objects that cannot be decoded are skipped.
 func (r *Reader) Read(objects []registry.Object) Membership {
 	membership := Membership{Replicas: map[string]Node{}, Gateways: map[string]Node{}}
 	for _, object := range objects {
@@ -41,28 +40,28 @@
 		membership.Sets = append(membership.Sets, membership.Layout.Founding...)
 		membership.Revisions = make([]uint64, membership.Layout.Cells)
 	}
-	present := make(map[string]decodedNode, len(r.nodes))
+	listed := make(map[string]decodedNode, len(r.nodes))
 	for _, object := range objects {
 		if cell, isSet := CellOfSet(object.Name); isSet {
 			membership.readSet(cell, object)
 		} else if strings.HasPrefix(object.Name, nodePrefix) {
 			decoded := r.decode(object)
-			present[object.Name] = decoded
+			listed[object.Name] = decoded
 			membership.add(decoded)
 		}
 	}
-	r.nodes = present // what is no longer listed is forgotten
+	r.nodes = listed // drops objects that are no longer listed
 	return membership
 }
 
-// decode returns an object's description, from before if the object has not changed.
+// decode returns an object's description, from the cache if the revision has not changed.
 func (r *Reader) decode(object registry.Object) decodedNode {
 	known, exists := r.nodes[object.Name]
 	if exists && known.revision == object.Revision {
 		return known
 	}
 	decoded := decodedNode{revision: object.Revision}
-	decoded.readable = json.Unmarshal(object.Value, &decoded.node) == nil
+	decoded.valid = json.Unmarshal(object.Value, &decoded.node) == nil
 	return decoded
 }
 
@@ -75,7 +74,7 @@
 }
 
 func (m *Membership) add(decoded decodedNode) {
-	if !decoded.readable {
+	if !decoded.valid {
 		return
 	}
 	switch decoded.node.Role {
--- a/internal/replicaset/register.go
+++ b/internal/replicaset/register.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	// nodePrefix begins the names of the objects in which nodes describe themselves.
+	// nodePrefix is the prefix of the names of the objects that describe nodes.
 	nodePrefix = "node-"
-	// registryTimeout bounds one try to register.
-	registryTimeout = 2 * time.Second
-	// registryRetry is the pause after a failed try.
-	registryRetry = 200 * time.Millisecond
+	// attemptTimeout bounds one attempt to register.
+	attemptTimeout = 2 * time.Second
+	// retryDelay is the pause after a failed attempt.
+	retryDelay = 200 * time.Millisecond
 )
 
-// LookupCached returns a registry object as far as a process knows it without a call.
+// LookupCached returns a registry object from the process's local view, without a call.
 type LookupCached func(name string) (registry.Object, bool)
 
-// Register writes a node's description under its name until that has succeeded. It makes
-// no call when the registry is known to hold it.
-func Register(ctx context.Context, objects registry.Registry, node Node, known LookupCached, failed func(error)) {
+// Register writes a node's description to the registry. It retries until it succeeds or the context
+// ends, and calls onError after each failed attempt. It makes no call if the local view already
+// contains the description.
+func Register(ctx context.Context, objects registry.Registry, node Node, known LookupCached, onError func(error)) {
 	content, _ := json.Marshal(node) // plain strings always encode
 	name := nodePrefix + node.Name
 	for ctx.Err() == nil {
-		err := put(ctx, objects, name, content, known)
+		err := createOrReplace(ctx, objects, name, content, known)
 		if err == nil {
 			return
 		}
-		failed(err)
-		wait.For(ctx, registryRetry)
+		onError(err)
+		wait.For(ctx, retryDelay)
 	}
 }
 
-// put creates an object, or replaces the one that is there.
-func put(ctx context.Context, objects registry.Registry, name string, content []byte, known LookupCached) error {
-	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
+// createOrReplace creates an object, or replaces the existing one.
+func createOrReplace(ctx context.Context, objects registry.Registry, name string, content []byte, known LookupCached) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	present, exists := known(name)
+	current, exists := known(name)
 	if !exists {
 		err := objects.Create(ctx, name, content)
 		if !errors.Is(err, registry.ErrConflict) {
 			return err
 		}
-		if present, err = objects.Get(ctx, name); err != nil {
+		if current, err = objects.Get(ctx, name); err != nil {
 			return err
 		}
 	}
-	if sameDescription(present.Value, content) {
+	if sameDescription(current.Value, content) {
 		return nil
 	}
-	err := objects.Replace(ctx, name, content, present.Revision)
+	err := objects.Replace(ctx, name, content, current.Revision)
 	if !errors.Is(err, registry.ErrConflict) {
 		return err
 	}
-	if present, err = objects.Get(ctx, name); err != nil {
+	if current, err = objects.Get(ctx, name); err != nil {
 		return err
 	}
-	return objects.Replace(ctx, name, content, present.Revision)
+	return objects.Replace(ctx, name, content, current.Revision)
 }
 
-// sameDescription compares two descriptions of nodes by what they say: the registry may
-// have written one in another way.
+// sameDescription reports whether two descriptions of nodes are equal after decoding, because the
+// registry may encode the same one differently.
 func sameDescription(a, b []byte) bool {
 	var first, second Node
 	if json.Unmarshal(a, &first) != nil || json.Unmarshal(b, &second) != nil {
--- a/internal/replicaset/set.go
+++ b/internal/replicaset/set.go
@@ -1,16 +1,16 @@
-// Package replicaset is the membership of the replicas that count charges: which
-// cells there are, which disks are voters of each, under a rising epoch, and the
-// rules by which that changes.
+// Package replicaset implements the membership of the replicas that count charges: the
+// cells, the disks that are voters of each under an increasing epoch, and the
+// rules for changing them.
 //
-// A cell's set lies in the registry and is replaced under its revision, so one chain
-// of epochs exists. Neighbouring epochs differ by one voter, therefore their
-// quorums intersect (Ongaro's thesis, section 4.1). A replica refuses reservations
-// of an older epoch than it has adopted, and whoever changes the membership first
-// makes sure that a quorum has adopted the present one: so quorums that are two
+// A cell's set is stored in the registry and replaced conditionally on its revision, so
+// there is a single sequence of epochs. Adjacent epochs differ by one voter, therefore their
+// quorums intersect (Ongaro's thesis, section 4.1). A replica rejects reservations
+// of an older epoch than it has adopted, and before a replica changes the membership it
+// makes sure that a quorum has adopted the current epoch: so quorums that are two
 // epochs apart cannot both act.
 //
 // A voter is a disk, not a machine. A machine that returns with an empty disk is a
-// new voter and never answers as if it remembered.
+// new voter and never answers for the state of the lost one.
 package replicaset
 
 import (
@@ -23,7 +23,7 @@
 type Voter struct {
 	// Node is the name of the machine.
 	Node string `json:"node"`
-	// Disk is drawn anew whenever a replica starts on an empty disk.
+	// Disk is a random id that is generated when a replica starts on an empty disk.
 	Disk string `json:"disk"`
 }
 
@@ -36,7 +36,7 @@
 // Quorum returns how many voters must agree.
 func (s Set) Quorum() int { return len(s.Voters)/2 + 1 }
 
-// IndexOf returns the place of the disk among the voters, or -1 if it is none.
+// IndexOf returns the index of the disk among the voters, or -1 if it is not a voter.
 func (s Set) IndexOf(disk string) int {
 	return slices.IndexFunc(s.Voters, func(v Voter) bool { return v.Disk == disk })
 }
@@ -55,13 +55,13 @@
 	return Set{Epoch: s.Epoch + 1, Voters: rest}
 }
 
-// Encode returns the form kept in the registry.
+// Encode returns the set as stored in the registry.
 func (s Set) Encode() []byte {
 	content, _ := json.Marshal(s) // plain strings and numbers always encode
 	return content
 }
 
-// DecodeSet reads the form kept in the registry.
+// DecodeSet decodes a set that is stored in the registry.
 func DecodeSet(content []byte) (Set, error) {
 	var set Set
 	if err := json.Unmarshal(content, &set); err != nil {
@@ -70,20 +70,20 @@
 	return set, nil
 }
 
-// Node is what a process tells the others of itself in the registry.
+// Node is a process's description of itself in the registry.
 type Node struct {
 	Name string `json:"name"`
 	// Role is "replica" or "gateway".
 	Role    string `json:"role"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Feed is where a replica hands on what the shared store says; "" if it does not.
+	// Feed is the address at which a replica relays the content of the shared store; "" if it does not.
 	Feed string `json:"feed,omitempty"`
 	// Disk is set for replicas.
 	Disk string `json:"disk,omitempty"`
 	// Cell is the cell a replica belongs to, nil while it has none.
 	Cell *int `json:"cell,omitempty"`
-	// Leaving replicas get no new records.
+	// Leaving is set for a replica that is being drained; it gets no new records.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
