--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -149,8 +149,8 @@
 
 // found writes the layout once no further replica has registered for foundingDelay.
 func (s *Server) found(now time.Time) {
-	_, registered := s.members.registered.Replicas[s.options.Node]
-	if s.members.leaving || !registered || now.Sub(s.members.lastNewReplicaAt) < foundingDelay {
+	_, isRegistered := s.members.registered.Replicas[s.options.Node]
+	if s.members.leaving || !isRegistered || now.Sub(s.members.lastNewReplicaAt) < foundingDelay {
 		return
 	}
 	var nodes []replicaset.Node
@@ -297,8 +297,8 @@
 	}
 	holders := 0
 	for _, peer := range s.peers {
-		registered, known := s.members.registered.Replicas[peer.node.Name]
-		if !known || registered.Leaving || !peer.connected {
+		node, known := s.members.registered.Replicas[peer.node.Name]
+		if !known || node.Leaving || !peer.connected {
 			continue
 		}
 		if s.state.PeerPosition(peer.disk) < s.state.Position() {
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -320,7 +320,7 @@
 	if known != nil {
 		known.link.CloseAsync()
 	}
-	fresh := &peerState{server: s, node: node}
-	s.peers[node.Name] = fresh
-	fresh.link = peer.NewLink[ledger.Request, ledger.Reply](s.context, node.Address, fresh)
+	added := &peerState{server: s, node: node}
+	s.peers[node.Name] = added
+	added.link = peer.NewLink[ledger.Request, ledger.Reply](s.context, node.Address, added)
 }
--- a/internal/replicaset/founding_test.go
+++ b/internal/replicaset/founding_test.go
@@ -72,10 +72,10 @@
 func TestChooseCellPrefersOwnRegion(t *testing.T) {
 	layout := Layout{Cells: 2, Regions: []string{"east", "west"}}
 	sets := []Set{{Voters: voters("a", "b", "c", "d", "e")}, {Voters: voters("f")}}
-	fresh := Node{Name: "new", Disk: "new", Zone: "x"}
-	require.Equal(t, 0, ChooseCell(fresh, "east", layout, sets, nil), "although the other cell has fewer voters")
-	require.Equal(t, 1, ChooseCell(fresh, "west", layout, sets, nil))
-	require.Equal(t, 1, ChooseCell(fresh, "north", layout, sets, nil), "a node of a region without a cell joins the cell with the fewest voters")
+	added := Node{Name: "new", Disk: "new", Zone: "x"}
+	require.Equal(t, 0, ChooseCell(added, "east", layout, sets, nil), "although the other cell has fewer voters")
+	require.Equal(t, 1, ChooseCell(added, "west", layout, sets, nil))
+	require.Equal(t, 1, ChooseCell(added, "north", layout, sets, nil), "a node of a region without a cell joins the cell with the fewest voters")
 	returned := Node{Name: "f", Disk: "new", Zone: "x"}
 	require.Equal(t, 1, ChooseCell(returned, "east", layout, sets, nil), "a machine stays in its cell")
 }
--- a/internal/replicaset/plan_test.go
+++ b/internal/replicaset/plan_test.go
@@ -104,11 +104,11 @@
 	}
 }
 
-func TestNeighbouringQuorumsIntersect(t *testing.T) {
+func TestAdjacentQuorumsIntersect(t *testing.T) {
 	for size := 1; size <= 9; size++ {
-		present := Set{Voters: make([]Voter, size)}
+		current := Set{Voters: make([]Voter, size)}
 		grown := Set{Voters: make([]Voter, size+1)}
-		require.Greater(t, present.Quorum()+grown.Quorum(), size+1)
+		require.Greater(t, current.Quorum()+grown.Quorum(), size+1)
 	}
 }
 
--- a/internal/replicaset/register.go
+++ b/internal/replicaset/register.go
@@ -26,11 +26,11 @@
 // Register writes a node's description to the registry. It retries until it succeeds or the context
 // ends, and calls onError after each failed attempt. It makes no call if the local view already
 // contains the description.
-func Register(ctx context.Context, objects registry.Registry, node Node, known LookupCached, onError func(error)) {
+func Register(ctx context.Context, objects registry.Registry, node Node, lookup LookupCached, onError func(error)) {
 	content, _ := json.Marshal(node) // plain strings always encode
 	name := nodePrefix + node.Name
 	for ctx.Err() == nil {
-		err := createOrReplace(ctx, objects, name, content, known)
+		err := createOrReplace(ctx, objects, name, content, lookup)
 		if err == nil {
 			return
 		}
@@ -40,10 +40,10 @@
 }
 
 // createOrReplace creates an object, or replaces the existing one.
-func createOrReplace(ctx context.Context, objects registry.Registry, name string, content []byte, known LookupCached) error {
+func createOrReplace(ctx context.Context, objects registry.Registry, name string, content []byte, lookup LookupCached) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	current, exists := known(name)
+	current, exists := lookup(name)
 	if !exists {
 		err := objects.Create(ctx, name, content)
 		if !errors.Is(err, registry.ErrConflict) {
