--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,11 +1,11 @@
-// Package wal is a replica's log on disk: batches of records, each with a length
+// Package wal implements a replica's write-ahead log: batches of records, each with a length
 // and a checksum, in numbered segments.
 //
-// After a loss of power a segment holds what its last sync covered; later writes
-// may be missing or torn. Reading therefore ends a segment at its first bad batch;
-// nothing behind it was ever acknowledged. A segment's name lasts once its folder
-// was synced, which Open and Rotate do before they return. A segment starts with a
-// snapshot, so that all earlier ones may be removed.
+// After a power failure, a segment contains everything up to its last sync; later writes
+// may be missing or torn. Reading therefore ends a segment at its first invalid batch;
+// nothing after it was ever acknowledged. A segment's name is durable once its folder
+// is synced, which Rotate does before it returns. A segment starts with a
+// snapshot, so that all earlier segments can be removed.
 package wal
 
 import (
@@ -26,7 +26,7 @@
 const (
 	// headerBytes is the size of a batch's length and checksum.
 	headerBytes = 8
-	// maxBatchBytes guards against a torn length.
+	// maxBatchBytes is the largest valid length of a batch; a torn length may exceed it.
 	maxBatchBytes = 64 << 20
 	// snapshotRecords is how many records of a snapshot are encoded at once.
 	snapshotRecords = 256
@@ -41,18 +41,18 @@
 	folder string
 	number int
 	file   *os.File
-	// size is the length that is written and synced.
+	// size is the number of bytes that are written and synced.
 	size int64
-	// broken is set after a failed write, whose bytes must be cut off first.
-	broken bool
+	// torn is set after a failed write, whose bytes must be truncated before the next one.
+	torn bool
 	// pending holds encoded records that are not durable yet.
 	pending *bytes.Buffer
 	encoder *gob.Encoder
 }
 
-// Open reads the newest complete segment of the folder, handing its records to
-// replay in order. It reports whether there was one. The caller must Rotate before
-// it appends.
+// Open reads the newest complete segment of the folder and passes its records to
+// replay in order. existed reports whether there was one. The caller must call Rotate before
+// Append.
 func Open[R any](folder string, replay func(R)) (log *Log[R], existed bool, err error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, false, fmt.Errorf("wal: %w", err)
@@ -96,9 +96,9 @@
 	return filepath.Join(l.folder, fmt.Sprintf("%08d%s", number, suffix))
 }
 
-// readSegment hands over the records of the segment's good batches and returns
-// their number. It holds one batch at a time: a segment may be as large as the memory
-// of the machine.
+// readSegment passes the records of the segment's valid batches to replay and returns
+// their number. It holds one batch in memory at a time, because a segment may be as large as
+// the memory of the machine.
 func readSegment[R any](path string, replay func(R)) (int, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("wal: %w", err)
 	}
-	batches := &batchReader{source: bufio.NewReader(file), left: info.Size()}
+	batches := &batchReader{source: bufio.NewReader(file), remaining: info.Size()}
 	decoder := gob.NewDecoder(bufio.NewReader(batches))
 	for count := 0; ; count++ {
 		var record R
@@ -124,27 +124,27 @@
 	}
 }
 
-// batchReader joins the content of the batches before the first bad one.
+// batchReader reads the concatenated content of the batches before the first invalid one.
 type batchReader struct {
 	source io.Reader
-	// left is how many bytes of batches may still come.
-	left int64
-	// rest is what was not read yet of the present batch, room its memory.
-	rest []byte
-	room []byte
+	// remaining is an upper bound of the batch bytes not read yet from the segment.
+	remaining int64
+	// unread is the part of the current batch that was not returned yet, buffer the memory of the batch.
+	unread []byte
+	buffer []byte
 }
 
 // Read implements io.Reader.
 func (r *batchReader) Read(p []byte) (int, error) {
-	if len(r.rest) == 0 && !r.next() {
+	if len(r.unread) == 0 && !r.next() {
 		return 0, io.EOF
 	}
-	size := copy(p, r.rest)
-	r.rest = r.rest[size:]
+	size := copy(p, r.unread)
+	r.unread = r.unread[size:]
 	return size, nil
 }
 
-// next reads the next batch and reports whether it is good.
+// next reads the next batch and reports whether it is valid.
 func (r *batchReader) next() bool {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(r.source, header[:]); err != nil {
@@ -155,32 +155,33 @@
 	if length == 0 || length > maxBatchBytes {
 		return false
 	}
-	if !r.readBatch(int(length)) || crc32.Checksum(r.room, castagnoli) != sum {
+	if !r.readBatch(int(length)) || crc32.Checksum(r.buffer, castagnoli) != sum {
 		return false
 	}
-	r.rest = r.room
+	r.unread = r.buffer
 	return true
 }
 
-// readBatch fills the room with a batch. A torn length may name more than is left.
+// readBatch fills the buffer with a batch of the given length, which may be torn and exceed the
+// remaining bytes.
 func (r *batchReader) readBatch(length int) bool {
-	if int64(length) > r.left {
+	if int64(length) > r.remaining {
 		return false
 	}
-	if cap(r.room) < length {
-		r.room = make([]byte, length)
+	if cap(r.buffer) < length {
+		r.buffer = make([]byte, length)
 	}
-	r.room = r.room[:length]
-	_, err := io.ReadFull(r.source, r.room)
-	r.left -= int64(length)
+	r.buffer = r.buffer[:length]
+	_, err := io.ReadFull(r.source, r.buffer)
+	r.remaining -= int64(length)
 	return err == nil
 }
 
-// Size returns the bytes of the present segment.
+// Size returns the size of the current segment in bytes.
 func (l *Log[R]) Size() int64 { return l.size }
 
-// Rotate starts a segment that begins with the snapshot, and removes the older
-// ones once it is durable. After an error the old segment stays in use.
+// Rotate starts a new segment with the snapshot, and removes the older
+// ones once it is durable. After an error the old segment remains in use.
 func (l *Log[R]) Rotate(snapshot []R) error {
 	next := l.number + 1
 	file, err := os.OpenFile(l.path(next, partialSuffix), os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o644)
@@ -207,11 +208,11 @@
 	return nil
 }
 
-// writeSnapshot writes the records piece by piece, so that few are encoded at once, and
-// syncs them once: the segment counts only after its rename.
+// writeSnapshot writes the records in chunks, to bound the memory for encoded records, and
+// syncs only once, because the segment is not used before its rename.
 func (l *Log[R]) writeSnapshot(snapshot []R) error {
-	for piece := range slices.Chunk(snapshot, snapshotRecords) {
-		if err := l.encode(piece); err != nil {
+	for chunk := range slices.Chunk(snapshot, snapshotRecords) {
+		if err := l.encode(chunk); err != nil {
 			return err
 		}
 		if err := l.writePending(); err != nil {
@@ -221,9 +222,9 @@
 	return l.file.Sync()
 }
 
-// Append writes and syncs records. After an error they stay pending and are
-// written before anything else by the next Append, which may have no records of
-// its own; none of them is durable until an Append succeeds.
+// Append writes and syncs records. After an error they remain pending, and the next
+// Append writes them first; that call may pass no records of its own. None of them is
+// durable until an Append succeeds.
 func (l *Log[R]) Append(records []R) error {
 	if err := l.encode(records); err != nil {
 		return err
@@ -231,22 +232,22 @@
 	if l.pending.Len() == 0 {
 		return nil
 	}
-	if err := l.cutBroken(); err != nil {
-		return fmt.Errorf("wal: cut: %w", err)
+	if err := l.truncateTorn(); err != nil {
+		return fmt.Errorf("wal: truncate torn bytes: %w", err)
 	}
-	l.broken = true
+	l.torn = true
 	if err := l.write(l.pending.Bytes()); err != nil {
 		return fmt.Errorf("wal: append: %w", err)
 	}
 	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("wal: append: %w", err)
 	}
-	l.broken = false
-	l.written()
+	l.torn = false
+	l.recordWritten()
 	return nil
 }
 
-// encode adds records to those that are not durable yet.
+// encode adds records to the pending ones.
 func (l *Log[R]) encode(records []R) error {
 	for _, record := range records {
 		if err := l.encoder.Encode(record); err != nil {
@@ -256,24 +257,24 @@
 	return nil
 }
 
-// writePending writes what is encoded, without a sync.
+// writePending writes the pending records without a sync.
 func (l *Log[R]) writePending() error {
 	if err := l.write(l.pending.Bytes()); err != nil {
 		return err
 	}
-	l.written()
+	l.recordWritten()
 	return nil
 }
 
-// written notes that the pending bytes are in the file.
-func (l *Log[R]) written() {
+// recordWritten adds the pending bytes to the size of the segment and clears them.
+func (l *Log[R]) recordWritten() {
 	l.size += int64(headerBytes + l.pending.Len())
 	l.pending.Reset()
 }
 
-// cutBroken removes what a failed write may have left behind the synced bytes.
-func (l *Log[R]) cutBroken() error {
-	if !l.broken {
+// truncateTorn removes bytes that a failed write may have left after the synced ones.
+func (l *Log[R]) truncateTorn() error {
+	if !l.torn {
 		return nil
 	}
 	if err := l.file.Truncate(l.size); err != nil {
@@ -291,7 +292,7 @@
 	return err
 }
 
-// Close closes the segment. What was appended without an error is durable already.
+// Close closes the segment. Records that were appended without an error are already durable.
 func (l *Log[R]) Close() error {
 	if l.file == nil {
 		return nil
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -24,15 +24,15 @@
 	return log, read, existed
 }
 
-func begin(t require.TestingT, folder string, snapshot ...record) *Log[record] {
+func openRotated(t require.TestingT, folder string, snapshot ...record) *Log[record] {
 	log, _, _ := open(t, folder)
 	require.NoError(t, log.Rotate(snapshot))
 	return log
 }
 
-func TestWhatWasAppendedIsReadInOrder(t *testing.T) {
+func TestAppendedRecordsAreReadInOrder(t *testing.T) {
 	folder := t.TempDir()
-	log := begin(t, folder, record{Text: "snapshot"})
+	log := openRotated(t, folder, record{Text: "snapshot"})
 	require.NoError(t, log.Append([]record{{Text: "a"}, {Text: "b", List: []int{1}}}))
 	require.NoError(t, log.Append([]record{{Text: "c"}}))
 	require.NoError(t, log.Close())
@@ -41,9 +41,9 @@
 	require.Equal(t, []record{{Text: "snapshot"}, {Text: "a"}, {Text: "b", List: []int{1}}, {Text: "c"}}, read)
 }
 
-func TestRotateKeepsOnlyTheNewSegment(t *testing.T) {
+func TestRotateRemovesOlderSegments(t *testing.T) {
 	folder := t.TempDir()
-	log := begin(t, folder, record{Text: "first"})
+	log := openRotated(t, folder, record{Text: "first"})
 	require.NoError(t, log.Append([]record{{Text: "dropped"}}))
 	require.NoError(t, log.Rotate([]record{{Text: "second"}}))
 	require.NoError(t, log.Append([]record{{Text: "kept"}}))
@@ -54,14 +54,14 @@
 	require.Len(t, files, 1)
 }
 
-// A loss of power may leave any part of what was not synced. All that was synced
-// before must be read, and nothing that was not written.
-func TestATornTailLosesNothingThatWasSynced(t *testing.T) {
+// A power failure may leave any part of the unsynced bytes, possibly corrupted. All synced records
+// must be read, and none that was not written.
+func TestTornTailKeepsSyncedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		folder, err := os.MkdirTemp("", "wal")
 		require.NoError(t, err)
 		defer os.RemoveAll(folder)
-		log := begin(t, folder, record{Text: "snapshot"})
+		log := openRotated(t, folder, record{Text: "snapshot"})
 		synced := rapid.IntRange(0, 4).Draw(t, "synced batches")
 		for batch := range synced {
 			require.NoError(t, log.Append([]record{{Text: fmt.Sprint("synced ", batch)}}))
@@ -73,24 +73,24 @@
 		path := log.path(log.number, segmentSuffix)
 		content, err := os.ReadFile(path)
 		require.NoError(t, err)
-		tear(t, content[size:])
+		corrupt(t, content[size:])
 		content = content[:rapid.IntRange(int(size), len(content)).Draw(t, "length")]
 		require.NoError(t, os.WriteFile(path, content, 0o600))
 		_, read, existed := open(t, folder)
 		require.True(t, existed)
 		require.GreaterOrEqual(t, len(read), synced+1)
-		for place, r := range read[1:] {
-			want := fmt.Sprint("synced ", place)
-			if place >= synced {
-				want = fmt.Sprint("unsynced ", place-synced)
+		for index, r := range read[1:] {
+			want := fmt.Sprint("synced ", index)
+			if index >= synced {
+				want = fmt.Sprint("unsynced ", index-synced)
 			}
 			require.Equal(t, want, r.Text)
 		}
 	})
 }
 
-// tear overwrites some bytes.
-func tear(t *rapid.T, content []byte) {
+// corrupt changes up to three bytes.
+func corrupt(t *rapid.T, content []byte) {
 	if len(content) == 0 {
 		return
 	}
@@ -99,25 +99,25 @@
 	}
 }
 
-func TestAFailedAppendStaysPending(t *testing.T) {
+func TestFailedAppendStaysPending(t *testing.T) {
 	folder := t.TempDir()
-	log := begin(t, folder, record{Text: "snapshot"})
+	log := openRotated(t, folder, record{Text: "snapshot"})
 	require.NoError(t, log.Append([]record{{Text: "a"}}))
-	sound := log.file
+	writable := log.file
 	readOnly, err := os.Open(log.path(log.number, segmentSuffix))
 	require.NoError(t, err)
 	log.file = readOnly // every write fails
 	require.Error(t, log.Append([]record{{Text: "b"}}))
 	require.Error(t, log.Append([]record{{Text: "c"}}))
-	log.file = sound
+	log.file = writable
 	require.NoError(t, log.Append(nil))
 	_, read, _ := open(t, folder)
 	require.Equal(t, []record{{Text: "snapshot"}, {Text: "a"}, {Text: "b"}, {Text: "c"}}, read)
 }
 
-func TestAnUnfinishedSegmentDoesNotReplaceTheOld(t *testing.T) {
+func TestUnfinishedSegmentDoesNotReplaceOld(t *testing.T) {
 	folder := t.TempDir()
-	log := begin(t, folder, record{Text: "snapshot"})
+	log := openRotated(t, folder, record{Text: "snapshot"})
 	require.NoError(t, os.WriteFile(log.path(log.number+1, partialSuffix), []byte("torn"), 0o600))
 	require.NoError(t, os.WriteFile(log.path(log.number+2, segmentSuffix), []byte("torn"), 0o600))
 	fresh, read, existed := open(t, folder)
@@ -128,7 +128,7 @@
 	require.Equal(t, []record{{Text: "snapshot"}}, read)
 }
 
-// allocated returns the bytes that work allocates in all.
+// allocated returns the total bytes that work allocates.
 func allocated(work func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -137,8 +137,9 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// A replica of 82 MB starts with 10 MB of turns and must not need several times that.
-func TestALargeSegmentIsReadAndWrittenInPieces(t *testing.T) {
+// A replica with 82 MB of memory starts with 10 MB of turns; reading or writing them must not take
+// several times their size.
+func TestLargeSegmentIsReadAndWrittenInChunks(t *testing.T) {
 	const records, recordBytes = 4000, 2000
 	const content = records * recordBytes
 	folder := t.TempDir()
@@ -148,15 +149,15 @@
 	for i := range snapshot {
 		snapshot[i] = bytes.Repeat([]byte{byte(i)}, recordBytes)
 	}
-	wrote := allocated(func() { require.NoError(t, log.Rotate(snapshot)) })
-	require.Less(t, wrote, uint64(content*2), "writing a snapshot of %d bytes", content)
+	allocatedByWrite := allocated(func() { require.NoError(t, log.Rotate(snapshot)) })
+	require.Less(t, allocatedByWrite, uint64(content*2), "writing a snapshot of %d bytes", content)
 	require.NoError(t, log.Close())
 	var read [][]byte
-	took := allocated(func() {
+	allocatedByRead := allocated(func() {
 		_, existed, err := Open(folder, func(record []byte) { read = append(read, record) })
 		require.NoError(t, err)
 		require.True(t, existed)
 	})
 	require.Equal(t, snapshot, read)
-	require.Less(t, took, uint64(content*5/2), "reading a segment of %d bytes", content)
+	require.Less(t, allocatedByRead, uint64(content*5/2), "reading a segment of %d bytes", content)
 }
