--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -1,9 +1,10 @@
-// Package learned keeps what gateways learned for those that start later. A gateway has no disk, so
-// after a start of all gateways at once nobody would know what programs ask for and what instances
-// bear. Gateways tell a replica of their zone from time to time, and one that starts asks for it.
+// Package learned caches statistics that gateways collect, called figures, for gateways that start
+// later. A gateway has no disk, so after a restart of all gateways none would know the demand of
+// programs and the capacity of instances. Gateways periodically send their figures to a replica of
+// their zone, and a gateway that starts requests them.
 //
-// Figures are kept in memory only, the newest of each zone. What is lost with a replica is told
-// again within seconds, and what is never told again is learned anew.
+// The newest figures of each zone are kept in memory only. Figures that are lost with a replica are
+// sent again within seconds; figures that no gateway sends again have to be collected again.
 package learned
 
 import (
@@ -21,28 +22,29 @@
 )
 
 const (
-	// mostZones bounds the zones of which figures are kept, mostBytes those of one zone.
-	mostZones = 64
-	mostBytes = 16 << 10
-	// datagramBytes bounds one datagram.
-	datagramBytes = 60 << 10
+	// maxZones is the maximum number of zones with figures, maxZoneBytes the maximum size of a zone's
+	// figures.
+	maxZones     = 64
+	maxZoneBytes = 16 << 10
+	// maxDatagramBytes is the maximum size of a datagram.
+	maxDatagramBytes = 60 << 10
 )
 
-// Message is what a gateway and a cache tell each other.
+// Message is a message between a gateway and a cache: figures to store, a query, or its answer.
 type Message struct {
-	// Zone is the zone whose gateways learned the figures.
+	// Zone is the zone whose gateways collected the figures.
 	Zone string
-	// Sections holds the figures by feature, encoded; none in a question for them.
+	// Sections holds the encoded figures by feature; it is empty in a query.
 	Sections map[string][]byte
-	// Age is how long ago a cache was told of the figures.
+	// Age is the time since the cache received the figures.
 	Age time.Duration
 }
 
-// Datagram is how a message travels. The load reports between gateways have a field of the same
-// name, so that gateways need no second socket.
+// Datagram is the encoded form of a message. The load reports between gateways have a field of the
+// same name, so that gateways need no second socket.
 type Datagram struct{ Learned *Message }
 
-// Encode returns a message as a datagram.
+// Encode returns a message as an encoded datagram.
 func Encode(message Message) ([]byte, error) {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(Datagram{Learned: &message}); err != nil {
@@ -61,31 +63,31 @@
 
 // Cache holds the newest figures of each zone. It is not safe for concurrent use.
 type Cache struct {
-	zones map[string]kept
+	zones map[string]entry
 }
 
-type kept struct {
-	sections map[string][]byte
-	at       time.Time
+type entry struct {
+	sections   map[string][]byte
+	receivedAt time.Time
 }
 
-// NewCache returns a cache that knows nothing.
-func NewCache() *Cache { return &Cache{zones: map[string]kept{}} }
+// NewCache returns an empty cache.
+func NewCache() *Cache { return &Cache{zones: map[string]entry{}} }
 
-// Receive keeps the figures of a message, or returns the answer to a question. What does not fit
-// is left out.
-func (c *Cache) Receive(now time.Time, message Message) (answer Message, asked bool) {
+// Receive stores the figures of a message, or returns the answer to a query; answered is false if
+// there is none. Figures that exceed the limits are ignored.
+func (c *Cache) Receive(now time.Time, message Message) (answer Message, answered bool) {
 	known, exists := c.zones[message.Zone]
 	if len(message.Sections) == 0 {
-		return Message{Zone: message.Zone, Sections: known.sections, Age: now.Sub(known.at)}, exists
+		return Message{Zone: message.Zone, Sections: known.sections, Age: now.Sub(known.receivedAt)}, exists
 	}
-	if message.bytes() <= mostBytes && (exists || len(c.zones) < mostZones) {
-		c.zones[message.Zone] = kept{sections: message.Sections, at: now}
+	if message.bytes() <= maxZoneBytes && (exists || len(c.zones) < maxZones) {
+		c.zones[message.Zone] = entry{sections: message.Sections, receivedAt: now}
 	}
 	return Message{}, false
 }
 
-// Serve keeps figures and answers questions on a UDP address until the context ends.
+// Serve receives figures and answers queries on a UDP address until the context ends.
 func (c *Cache) Serve(ctx context.Context, address string, logger *log.Logger, sent *traffic.Counter) error {
 	var config net.ListenConfig
 	socket, err := config.ListenPacket(ctx, "udp", address)
@@ -94,7 +96,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = socket.Close() })
 	defer stop()
-	buffer := make([]byte, datagramBytes)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := socket.ReadFrom(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -102,9 +104,9 @@
 		}
 		var received Datagram
 		if err != nil || gob.NewDecoder(bytes.NewReader(buffer[:size])).Decode(&received) != nil || received.Learned == nil {
-			continue // a datagram that is damaged or of another version is as good as lost
+			continue // a corrupt datagram, or one of another version, is ignored
 		}
-		if answer, asked := c.Receive(time.Now(), *received.Learned); asked {
+		if answer, answered := c.Receive(time.Now(), *received.Learned); answered {
 			c.answer(socket, from, answer, logger, sent)
 		}
 	}
