--- a/internal/ledger/handover_test.go
+++ b/internal/ledger/handover_test.go
@@ -55,10 +55,10 @@
 // replies saturated the link between regions and exhausted the memory of the senders.
 func TestChargesAreHandedOverOnceInPages(t *testing.T) {
 	const charges, limit = 1000, 64
-	from := NewState("old", "life-1")
+	from := NewState("old", "boot-1")
 	addCharges(from, 0, charges, false)
 	addCharges(from, 0, charges/2, true)
-	joining := &chargeReader{state: NewState("new", "life")}
+	joining := &chargeReader{state: NewState("new", "boot")}
 	joining.readAll(t, from, 1, limit)
 	require.Equal(t, charges, joining.read, "a charge that became final is read once")
 	addCharges(from, charges/2, 10, true)
@@ -66,7 +66,7 @@
 	joining.readAll(t, from, 3, limit)
 	require.Equal(t, charges+10, joining.read, "a later epoch reads only the changes")
 
-	restarted := NewState("old", "life-2")
+	restarted := NewState("old", "boot-2")
 	for _, record := range from.Snapshot() {
 		restarted.Replay(start, record)
 	}
@@ -77,7 +77,7 @@
 	restarted.Purge(expired)
 	require.Empty(t, restarted.changeLog.entries, "entries are trimmed when their charges expire")
 	addCharges(restarted, 3*charges, 5, true)
-	other := &chargeReader{state: NewState("other", "life")}
+	other := &chargeReader{state: NewState("other", "boot")}
 	other.readAll(t, restarted, 5, limit)
 	require.Equal(t, 5, other.read)
 }
@@ -85,7 +85,7 @@
 // During a rolling upgrade, a replica of the previous version must not join without the charges
 // of the others.
 func TestPreviousVersionGetsAllChargesAtOnce(t *testing.T) {
-	from := NewState("old", "life")
+	from := NewState("old", "boot")
 	addCharges(from, 0, 100, true)
 	reply := from.Step(start, Request{Adopt: &Adopt{Set: replicaset.Set{Epoch: 1}, WithCharges: true}}).AfterSync[0]
 	require.Len(t, reply.Charges, 100)
@@ -95,7 +95,7 @@
 
 func TestFetchReplyIsTruncatedAtSizeLimit(t *testing.T) {
 	const turns, size = 100, 10_000
-	s := NewState("disk", "life")
+	s := NewState("disk", "boot")
 	var ids []string
 	for number := range turns {
 		turn := Turn{ID: fmt.Sprint(number), Input: make([]byte, size), Retention: time.Minute}
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -94,8 +94,8 @@
 	m.store.WithLabelValues(method, strconv.Itoa(status)).Inc()
 }
 
-func (m *Metrics) observeSync(took time.Duration, records int) {
-	m.syncs.Observe(took.Seconds())
+func (m *Metrics) observeSync(duration time.Duration, records int) {
+	m.syncs.Observe(duration.Seconds())
 	m.batch.Observe(float64(records))
 }
 
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -101,8 +101,8 @@
 	if options.Metrics == nil {
 		s.options.Metrics = NewMetrics(options.Node)
 	}
-	began := time.Now()
-	s.started = began
+	startedAt := time.Now()
+	s.started = startedAt
 	s.runID = uuid.NewString()
 	s.state = ledger.NewState("", s.runID)
 	lendings := quota.NewHistory(options.Quota)
@@ -112,16 +112,16 @@
 			lendings.Add(*record.Lent)
 			return
 		}
-		s.state.Replay(began, record)
+		s.state.Replay(startedAt, record)
 	})
 	if err != nil {
 		return nil, err
 	}
 	if !existed || s.state.Disk() == "" {
-		s.state.Replay(began, ledger.Record{Disk: uuid.NewString()})
+		s.state.Replay(startedAt, ledger.Record{Disk: uuid.NewString()})
 	}
 	s.resumeLending(lendings.Recent())
-	if err := rotateAtStart(disk, s.snapshot(began)); err != nil {
+	if err := rotateAtStart(disk, s.snapshot(startedAt)); err != nil {
 		return nil, err
 	}
 	s.members.reader = replicaset.NewReader()
@@ -131,7 +131,7 @@
 	turns, programs, bytes := s.state.Size()
 	s.log.Info().Str("event", "start").Str("role", "replica").Str("disk", s.state.Disk()).Bool("disk_is_new", !existed).
 		Uint64("epoch", s.state.Set().Epoch).Int("turns", turns).Int("programs", programs).Int64("turn_bytes", bytes).
-		Dur("replay", time.Since(began)).Int("pid", os.Getpid()).Msg("")
+		Dur("replay", time.Since(startedAt)).Int("pid", os.Getpid()).Msg("")
 	return s, nil
 }
 
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -29,7 +29,7 @@
 	// again.
 	report func(err error)
 	// observe is called with the duration of each sync and the number of its records.
-	observe func(took time.Duration, records int)
+	observe func(duration time.Duration, records int)
 
 	mu      sync.Mutex
 	waiting []submission
@@ -147,12 +147,12 @@
 	for _, item := range items {
 		records = append(records, item.records...)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	if err := s.log.Append(records); err != nil {
 		return err
 	}
 	if len(records) > 0 {
-		s.observe(time.Since(began), len(records))
+		s.observe(time.Since(startedAt), len(records))
 	}
 	if snapshot := items[len(items)-1].snapshot; snapshot != nil {
 		// The old segment remains in use if the disk has no space for a new one.
