--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,234 +7,241 @@
 )
 
 const (
-	// reportLife is how long what another gateway said counts. Programs that it admitted go on
-	// through other gateways when it is gone, so this is as long as most of them take.
+	// reportLife is how long a report of another gateway counts. Programs admitted by a gateway
+	// that has failed continue through other gateways, so this is as long as most programs take.
 	reportLife = 5 * time.Second
-	// mostPrograms bounds the programs whose beginnings are remembered; twice as many at most.
-	mostPrograms = 2048
-	// mostSlowdown is up to which slowdown a program's time tells how long it takes without
-	// other load: beyond it, what is taken off for the load is no small part any more.
-	mostSlowdown = 1.5
-	// warmUp is for how long after a start the times of requests are left out: the first to end
-	// are the short ones, and the slots in use are not known yet.
+	// maxPrograms bounds each of the two generations of start records that are kept.
+	maxPrograms = 2048
+	// maxSampleSlowdown is the highest slowdown at which the duration of a program is used as a
+	// sample of its unloaded duration: above it, the correction for load is too large a part of the
+	// sample.
+	maxSampleSlowdown = 1.5
+	// warmUp is how long after the start request durations are not sampled: the first requests to
+	// complete are the short ones, and the number of busy slots is not known yet.
 	warmUp = 2 * time.Second
-	// shareTime is over which time the share of the slots in use is taken.
-	shareTime = time.Second
-	// calibrationTime is over which time the slots in use are compared with those expected.
+	// utilizationTime is the time constant of the mean utilization.
+	utilizationTime = time.Second
+	// calibrationTime is the time constant with which the forecast is corrected to the observed
+	// number of busy slots.
 	calibrationTime = time.Second
-	// calibrationMost bounds the factor between them to either side.
-	calibrationMost = 2
+	// maxCalibration bounds the calibration factor to [1/maxCalibration, maxCalibration].
+	maxCalibration = 2
 )
 
-// Controller is what one gateway knows of programs. It is not safe for concurrent use.
+// Controller holds the state of program admission at one gateway. It is not safe for concurrent
+// use.
 type Controller struct {
 	kinds    map[group]*kindState
 	services map[group]*serviceState
-	others   *tally.Tally[Key]
-	recalled recalled
-	// programs are those that began here of late, previous the ones before them.
-	programs, previous map[string]beginning
+	reports  *tally.Tally[Key]
+	restored restoredFigures
+	// programs and previous are two generations of start records of programs that started at this
+	// gateway; the older one is dropped when the newer one is full.
+	programs, previous map[string]startRecord
 }
 
-// kindState is what this gateway knows of a kind itself.
+// kindState is what this gateway has observed of one kind of program.
 type kindState struct {
 	sums sums
-	// estimate is what all gateways know of it by the last decision.
-	estimate estimate
-	at       time.Time
-	// refusedUntil is until when callers that were refused, or may have been, come back.
-	refusedUntil time.Time
+	// estimate is derived from the figures of all gateways, as of the last decision.
+	estimate  estimate
+	updatedAt time.Time
+	// retriesUntil is the time until which callers that were refused, or may have been, can retry.
+	retriesUntil time.Time
 }
 
-// serviceState is what this gateway knows of a service itself.
+// serviceState is what this gateway has observed of one service.
 type serviceState struct {
 	slowdown slowdown
-	// points are the slowdown by all gateways as of the last decision.
+	// points is the slowdown over all gateways, as of the last decision.
 	points []point
-	// share is the share of the slots in use over the last second or so: a turn's time tells
-	// of the load that it met, not of that at its end.
-	share   float64
-	shareAt time.Time
-	// since is when the service was first heard of.
-	since time.Time
-	// factor is the slots in use for each one that is expected; calibratedAt is when it was
-	// last moved.
-	factor       float64
+	// utilization is the mean utilization over about the last second: the duration of a turn
+	// reflects the load throughout the turn, not only at its end.
+	utilization   float64
+	utilizationAt time.Time
+	// firstSeen is the time of the first call for this service.
+	firstSeen time.Time
+	// calibration is the ratio of observed to forecast busy slots; calibratedAt is the time of its
+	// last update.
+	calibration  float64
 	calibratedAt time.Time
 }
 
-// beginning is when a program began, how much time it had, and how much slower than without
-// other load requests were then.
-type beginning struct {
+// startRecord holds, for one program, its start time, the time it had left then, and the slowdown
+// of requests at that time.
+type startRecord struct {
 	at       time.Time
-	left     time.Duration
+	timeLeft time.Duration
 	slowdown float64
-	// usual says that no callers came back then.
-	usual bool
+	// retryFree is Decision.RetryFree of the decision that admitted the program.
+	retryFree bool
 }
 
-// NewController returns a controller that knows nothing.
+// NewController returns a controller without any observations.
 func NewController() *Controller {
 	return &Controller{
-		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, others: tally.New[Key](reportLife),
-		programs: map[string]beginning{}, previous: map[string]beginning{},
+		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, reports: tally.New[Key](reportLife),
+		programs: map[string]startRecord{}, previous: map[string]startRecord{},
 	}
 }
 
-// kind returns what is known of a kind, as of now.
+// kind returns the state of a kind, decayed to now. It creates the state if there is none.
 func (c *Controller) kind(now time.Time, name group) *kindState {
-	known := c.kinds[name]
-	if known == nil {
-		if len(c.kinds) >= mostRemembered {
+	state := c.kinds[name]
+	if state == nil {
+		if len(c.kinds) >= maxGroups {
 			clear(c.kinds)
 		}
-		known = &kindState{at: now, estimate: estimate{stage: unknownStage}}
-		c.kinds[name] = known
+		state = &kindState{updatedAt: now, estimate: estimate{stageTime: defaultStageTime}}
+		c.kinds[name] = state
 	}
-	known.fade(now)
-	return known
+	state.decay(now)
+	return state
 }
 
-// service returns what is known of a service.
+// service returns the state of a service. It creates the state if there is none.
 func (c *Controller) service(now time.Time, name group) *serviceState {
-	known := c.services[name]
-	if known == nil {
-		if len(c.services) >= mostRemembered {
+	state := c.services[name]
+	if state == nil {
+		if len(c.services) >= maxGroups {
 			clear(c.services)
 		}
-		known = &serviceState{factor: 1, calibratedAt: now, since: now}
-		c.services[name] = known
+		state = &serviceState{calibration: 1, calibratedAt: now, firstSeen: now}
+		c.services[name] = state
 	}
-	return known
+	return state
 }
 
-// fade moves the sums on to now.
-func (k *kindState) fade(now time.Time) {
-	if after := now.Sub(k.at); after > 0 {
-		k.sums.fade(after.Seconds(), k.estimate)
-		k.at = now
+// decay applies the decay of the sums up to now.
+func (k *kindState) decay(now time.Time) {
+	if elapsed := now.Sub(k.updatedAt); elapsed > 0 {
+		k.sums.decay(elapsed.Seconds(), k.estimate)
+		k.updatedAt = now
 	}
 }
 
-// ProgramStart is a program's first request that an instance took.
+// ProgramStart describes the first request of a program once an instance has accepted it.
 type ProgramStart struct {
 	Kind    Kind
 	Program string
-	// TimeLeft is the time that the program has; 0 if it names none.
+	// TimeLeft is the time to the deadline of the program; 0 if it has none.
 	TimeLeft time.Duration
-	// Utilization is the part of the service's slots in use.
+	// Utilization is the fraction of the service's slots that are busy.
 	Utilization float64
-	// RetryFree is what the decision said.
+	// RetryFree is copied from the decision that admitted the program.
 	RetryFree bool
 }
 
-// ProgramStarted notes that a program began.
-func (c *Controller) ProgramStarted(now time.Time, program ProgramStart) {
-	name := groupOf(program.Kind)
-	known := c.kind(now, name)
-	known.sums[begun]++
-	known.sums[first]++
-	known.sums[early]++
-	if len(c.programs) >= mostPrograms {
-		c.programs, c.previous = map[string]beginning{}, c.programs
+// ProgramStarted records that an instance accepted the first request of a program.
+func (c *Controller) ProgramStarted(now time.Time, start ProgramStart) {
+	name := groupOf(start.Kind)
+	state := c.kind(now, name)
+	state.sums[startedPrograms]++
+	state.sums[inFirstTurn]++
+	state.sums[inFirstStage]++
+	if len(c.programs) >= maxPrograms {
+		c.programs, c.previous = map[string]startRecord{}, c.programs
 	}
 	service := c.service(now, name.service())
-	service.noteShare(now, program.Utilization)
-	c.programs[program.Program] = beginning{at: now, left: program.TimeLeft, slowdown: service.present(), usual: program.RetryFree}
+	service.observeUtilization(now, start.Utilization)
+	c.programs[start.Program] = startRecord{at: now, timeLeft: start.TimeLeft, slowdown: service.currentSlowdown(), retryFree: start.RetryFree}
 }
 
-// Turn is a request that was answered whole.
+// Turn describes a request that was answered in full.
 type Turn struct {
 	Kind    Kind
 	Program string
-	// First says that it is the first of its program.
+	// First is set for the first turn of a program.
 	First bool
-	// SlotTime is its slot time.
+	// SlotTime is how long the request occupied a slot.
 	SlotTime time.Duration
-	// Utilization is the part of the service's slots in use.
+	// Utilization is the fraction of the service's slots that are busy.
 	Utilization float64
 }
 
-// TurnCompleted learns from a request that was answered whole.
+// TurnCompleted records a request that was answered in full.
 func (c *Controller) TurnCompleted(now time.Time, turn Turn) {
 	name := groupOf(turn.Kind)
-	known := c.kind(now, name)
+	state := c.kind(now, name)
 	service := c.service(now, name.service())
-	took := milliseconds(turn.SlotTime)
-	service.noteShare(now, turn.Utilization)
-	if now.Sub(service.since) >= warmUp {
-		service.slowdown.observe(service.share, took)
+	tookMS := milliseconds(turn.SlotTime)
+	service.observeUtilization(now, turn.Utilization)
+	if now.Sub(service.firstSeen) >= warmUp {
+		service.slowdown.observe(service.utilization, tookMS)
 	}
-	known.sums[turnMS] += took
-	known.sums[turnSquares] += took * took
+	state.sums[slotTimeMS] += tookMS
+	state.sums[slotTimeSquares] += tookMS * tookMS
 	if turn.First {
 		return
 	}
-	known.sums[later] += known.estimate.begunWithin(now.Sub(service.since))
-	if began, remembered := c.beginning(turn.Program); remembered {
-		age := max(0, now.Sub(began.at)-turn.SlotTime/2)
-		known.sums.learnAge(began, age, service.present())
+	state.sums[laterTurns] += state.estimate.startedWithin(now.Sub(service.firstSeen))
+	if start, found := c.startOf(turn.Program); found {
+		age := max(0, now.Sub(start.at)-turn.SlotTime/2)
+		state.sums.observeAge(start, age, service.currentSlowdown())
 	}
 }
 
-// beginning returns how a program began, if it began here of late.
-func (c *Controller) beginning(program string) (beginning, bool) {
-	if began, remembered := c.programs[program]; remembered {
-		return began, true
+// startOf returns the start record of a program, and false if the program did not start at this
+// gateway or its record was dropped.
+func (c *Controller) startOf(program string) (startRecord, bool) {
+	if start, found := c.programs[program]; found {
+		return start, true
 	}
-	began, remembered := c.previous[program]
-	return began, remembered
+	start, found := c.previous[program]
+	return start, found
 }
 
-// learnAge learns from the age of a program in the middle of a later turn.
-func (s *sums) learnAge(began beginning, age time.Duration, slowdown float64) {
-	s[aged]++
+// observeAge adds a sample of the age of a program, taken in the middle of a later turn.
+func (s *sums) observeAge(start startRecord, age time.Duration, slowdown float64) {
+	s[agedTurns]++
 	s[ageMS] += milliseconds(age)
-	// A program that is late, or that began while refused callers may have come back, does not
-	// tell how much of their time programs of its kind need: it had less than they have.
-	if age < began.left && began.usual && max(began.slowdown, slowdown) <= mostSlowdown {
-		s.addPhase(began.left, time.Duration(float64(age)*2/(began.slowdown+slowdown)))
+	// A program that is late, or that started while refused callers may have been retrying, had
+	// less time than programs of its kind usually have and would bias the estimate.
+	if age < start.timeLeft && start.retryFree && max(start.slowdown, slowdown) <= maxSampleSlowdown {
+		s.observePhase(start.timeLeft, time.Duration(float64(age)*2/(start.slowdown+slowdown)))
 	}
 }
 
-// addPhase adds how much of a program's time would have been over without other load.
-func (s *sums) addPhase(left, over time.Duration) {
-	for each := phased; each <= calmMS; each++ {
-		s[each] -= s[each] / phaseMemory
+// observePhase adds a sample of the part of a program's time that would have elapsed without other
+// load.
+func (s *sums) observePhase(timeLeft, elapsed time.Duration) {
+	for index := phasedTurns; index <= unloadedMS; index++ {
+		s[index] -= s[index] / phaseSamples
 	}
-	s[phased]++
-	s[phase] += over.Seconds() / left.Seconds()
-	s[calmMS] += milliseconds(over)
+	s[phasedTurns]++
+	s[phaseSum] += elapsed.Seconds() / timeLeft.Seconds()
+	s[unloadedMS] += milliseconds(elapsed)
 }
 
-// present returns by how much slower than without other load requests are now.
-func (s *serviceState) present() float64 { return at(s.points, s.share) }
+// currentSlowdown returns the factor by which requests take longer at the current utilization than
+// without other load.
+func (s *serviceState) currentSlowdown() float64 { return slowdownAt(s.points, s.utilization) }
 
-// mayComeBack notes until when a caller that is refused may come back.
-func (k *kindState) mayComeBack(until time.Time) {
-	if until.After(k.refusedUntil) {
-		k.refusedUntil = until
+// extendRetries records that a refused caller may retry until the given time.
+func (k *kindState) extendRetries(until time.Time) {
+	if until.After(k.retriesUntil) {
+		k.retriesUntil = until
 	}
 }
 
-// noteShare adds the share of the slots in use to its mean.
-func (s *serviceState) noteShare(now time.Time, share float64) {
-	if now.Before(s.shareAt) {
-		return // the time of a request that was read before another one's
+// observeUtilization updates the mean utilization.
+func (s *serviceState) observeUtilization(now time.Time, utilization float64) {
+	if now.Before(s.utilizationAt) {
+		return // the caller read the clock before that of an earlier call
 	}
 	weight := 1.0
-	if !s.shareAt.IsZero() {
-		weight = 1 - fading(now.Sub(s.shareAt).Seconds(), shareTime.Seconds())
+	if !s.utilizationAt.IsZero() {
+		weight = 1 - expDecay(now.Sub(s.utilizationAt).Seconds(), utilizationTime.Seconds())
 	}
-	s.share += weight * (share - s.share)
-	s.shareAt = now
+	s.utilization += weight * (utilization - s.utilization)
+	s.utilizationAt = now
 }
 
-// TurnFailed notes that a later request of a program got no whole answer: the program may have
-// ended before its time, which must not teach that its kind is short.
+// TurnFailed records that a later request of a program was not answered in full. The program may
+// have ended early, which must not bias the estimate towards short programs.
 func (c *Controller) TurnFailed(now time.Time, kind Kind) {
-	known := c.kind(now, groupOf(kind))
-	known.sums[begun] = max(0, known.sums[begun]-cutShare)
+	state := c.kind(now, groupOf(kind))
+	state.sums[startedPrograms] = max(0, state.sums[startedPrograms]-failedTurnDiscount)
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,17 +1,19 @@
-// Package admission decides whether a new program may begin. A program is a chain of dependent
-// requests of which only the end of the last one counts; it asks for one slot at first and may
-// ask for several a moment later. Where programs begin for as long as slots are free, those
-// under way unfold onto each other, all take longer, and all are late.
+// Package admission decides whether a new program may start. A program is a chain of dependent
+// requests (turns) whose caller needs only the result of the last one. It uses one slot at first
+// and may use several a moment later. If programs were admitted whenever slots are free, the
+// fan-outs of active programs would coincide, all requests would take longer, and all programs
+// would miss their deadlines.
 //
-// So a program begins if what the programs under way are expected to use, and what more urgent
-// ones are expected to ask, leaves room for it. Room is the number of slots that may be in use
-// before requests slow each other down by more than programs can bear. Nothing of this is
-// configured: each gateway learns what the kinds of programs ask for and how requests slow each
-// other down, adds what other gateways learned, and decides alone on the sums.
+// A program is therefore admitted only if the slot limit exceeds the forecast demand of active
+// programs plus the demand expected from more urgent ones. The slot limit is the number of slots
+// that may be busy before requests slow each other down by more than programs can tolerate. None of
+// this is configured: each gateway learns the demand of each kind of program and the slowdown under
+// load, merges what other gateways report, and decides locally on the sums.
 //
-// The package is pure: its caller passes the time and every event, and locks. The order of
-// calls is Decide for a program's first request until it is admitted, Began once an instance
-// took it, TurnEnded for each request that was answered whole, TurnLost for each later one that
-// was not. Figures returns what other gateways are told, Take adds what they say. Lasting returns
-// what gateways that start later can go on with, Recall gives it to one of them.
+// The package does no I/O, reads no clock and takes no locks: the caller passes the time and every
+// event, and serializes calls. The order of calls is Decide for the first request of a program
+// until it is admitted, ProgramStarted once an instance accepts it, TurnCompleted for each request
+// answered in full, and TurnFailed for each later request that was not. Figures returns the report
+// for other gateways, ReplaceReport stores theirs. Snapshot returns the state that outlives a
+// restart, Restore loads it.
 package admission
--- a/internal/admission/forecast.go
+++ b/internal/admission/forecast.go
@@ -7,206 +7,213 @@
 	"time"
 )
 
-// viewed is a kind as all gateways know it.
-type viewed struct {
+// kindView holds the figures and the estimate of one kind over all gateways.
+type kindView struct {
 	group    group
 	sums     *sums
 	estimate estimate
 }
 
-// view is a service as all gateways know it.
+// view holds the figures of one service over all gateways.
 type view struct {
 	// kinds are sorted by group.
-	kinds    []viewed
+	kinds    []kindView
 	slowdown []point
 }
 
-// view adds up what is known of a service and keeps the estimates.
+// view returns the figures of a service over all gateways, and stores the estimates and the
+// slowdown in this gateway's state.
 func (c *Controller) view(now time.Time, name group, service *serviceState) view {
-	total := c.fleetOf(now, name)
+	total := c.fleetSums(now, name)
 	service.points = total.slowdown.points()
-	seen := view{slowdown: service.points}
-	slowed := total.slowed(service.points)
-	for each, known := range total.kinds {
-		estimate := known.estimated().withStretch(slowed)
-		if own := c.kinds[each]; own != nil {
+	result := view{slowdown: service.points}
+	meanSlowdown := total.meanSlowdown(service.points)
+	for id, kindSums := range total.kinds {
+		estimate := kindSums.estimate().withMaxSlowdown(meanSlowdown)
+		if own := c.kinds[id]; own != nil {
 			own.estimate = estimate
 		}
-		seen.kinds = append(seen.kinds, viewed{group: each, sums: known, estimate: estimate})
+		result.kinds = append(result.kinds, kindView{group: id, sums: kindSums, estimate: estimate})
 	}
-	slices.SortFunc(seen.kinds, func(a, b viewed) int { return cmp.Compare(a.group, b.group) })
-	return seen
+	slices.SortFunc(result.kinds, func(a, b kindView) int { return cmp.Compare(a.group, b.group) })
+	return result
 }
 
-// slowed returns how many times as long as with few slots in use turns took of late, over all kinds.
-func (f fleet) slowed(known []point) float64 {
-	turns, took := 0.0, 0.0
+// meanSlowdown returns the factor by which recent turns of all kinds took longer than with few busy
+// slots.
+func (f fleet) meanSlowdown(points []point) float64 {
+	turns, tookMS := 0.0, 0.0
 	for _, kind := range f.kinds {
-		turns += kind[begun] + kind[later]
-		took += kind[turnMS]
+		turns += kind[startedPrograms] + kind[laterTurns]
+		tookMS += kind[slotTimeMS]
 	}
-	if !based(known) || turns == 0 {
+	if !hasBaseline(points) || turns == 0 {
 		return 1
 	}
-	return max(1, took/turns/known[0].took)
+	return max(1, tookMS/turns/points[0].meanMS)
 }
 
-// of returns a kind of the service.
-func (v view) of(name group) viewed {
+// kind returns the view of one kind of the service.
+func (v view) kind(name group) kindView {
 	for _, kind := range v.kinds {
 		if kind.group == name {
 			return kind
 		}
 	}
-	return viewed{group: name, sums: &sums{}}
+	return kindView{group: name, sums: &sums{}}
 }
 
-// learned reports whether enough programs of any kind of the service were seen to forecast.
+// learned reports whether any kind of the service has enough observations for a forecast.
 func (v view) learned() bool {
-	return slices.ContainsFunc(v.kinds, func(kind viewed) bool { return kind.estimate.known })
+	return slices.ContainsFunc(v.kinds, func(kind kindView) bool { return kind.estimate.known })
 }
 
-// expected returns the slots that programs under way will use after a time in seconds.
-func (v view) expected(after float64) float64 {
+// expectedSlots returns the forecast demand of active programs, in slots, after the given seconds.
+func (v view) expectedSlots(after float64) float64 {
 	total := 0.0
 	for _, kind := range v.kinds {
-		total += kind.estimate.expected(kind.sums, after)
+		total += kind.estimate.expectedSlots(kind.sums, after)
 	}
 	return total
 }
 
-// reserved returns the slots that programs more urgent than a rank will ask for until after a
-// time in seconds, with one standard deviation of it: arrivals are independent.
-func (v view) reserved(rank int, after float64) float64 {
+// reservedSlots returns the slots that programs more urgent than the rank are expected to request
+// within the given seconds, plus one standard deviation; arrivals are taken to be independent.
+func (v view) reservedSlots(rank int, after float64) float64 {
 	total, variance := 0.0, 0.0
 	for _, kind := range v.kinds {
 		if kind.group.rank() >= rank {
 			continue
 		}
-		coming := kind.estimate.coming(kind.sums[asked], after)
-		total += coming
-		variance += coming * kind.estimate.most()
+		slots := kind.estimate.futureSlots(kind.sums[arrivalRate], after)
+		total += slots
+		variance += slots * kind.estimate.peakSlots()
 	}
 	return total + math.Sqrt(variance)
 }
 
-// asking returns the slots that programs of a rank which ask within the admission span will use
-// after a time in seconds.
-func (v view) asking(rank int, after float64) float64 {
+// requestedSlots returns the slots that programs of the rank which arrive within the admission
+// window will use after the given seconds.
+func (v view) requestedSlots(rank int, after float64) float64 {
 	total := 0.0
 	for _, kind := range v.kinds {
 		if kind.group.rank() != rank {
 			continue
 		}
-		rate, before := kind.sums[asked], max(0, after-admissionSpan)
-		total += kind.estimate.coming(rate, after) - kind.estimate.coming(rate, before)
+		rate, before := kind.sums[arrivalRate], max(0, after-admissionWindow)
+		total += kind.estimate.futureSlots(rate, after) - kind.estimate.futureSlots(rate, before)
 	}
 	return total
 }
 
-// asked returns how many programs of the given ranks, both included, ask to begin a second.
-func (v view) asked(from, to int) float64 {
+// arrivalRate returns how many programs of the ranks from..to, inclusive, ask for admission per
+// second.
+func (v view) arrivalRate(from, to int) float64 {
 	total := 0.0
 	for _, kind := range v.kinds {
 		if rank := kind.group.rank(); from <= rank && rank <= to {
-			total += kind.sums[asked]
+			total += kind.sums[arrivalRate]
 		}
 	}
 	return total
 }
 
-// bearable returns the share of the slots in use that a program and the kinds of its rank and of
-// more urgent ones bear. A program whose deadline is known, but not how much of its time its
-// kind needs, is taken to bear the slowdown up to which that is learned.
-func (v view) bearable(rank int, program estimate, hasDeadline bool) float64 {
-	least := 1.0
-	if program.stretch == 0 && hasDeadline {
-		least = bearable(v.slowdown, mostSlowdown)
+// tolerableUtilization returns the highest utilization that is tolerable to the program and to all
+// kinds of its rank and of more urgent ranks. If the deadline of the program is known but the slack
+// of its kind is not, the program is assumed to tolerate maxSampleSlowdown, the slowdown up to
+// which the slack is sampled.
+func (v view) tolerableUtilization(rank int, program estimate, hasDeadline bool) float64 {
+	utilization := 1.0
+	if program.maxSlowdown == 0 && hasDeadline {
+		utilization = tolerableUtilization(v.slowdown, maxSampleSlowdown)
 	}
 	for _, kind := range v.kinds {
-		if kind.group.rank() <= rank && kind.estimate.stretch > 0 {
-			least = min(least, bearable(v.slowdown, kind.estimate.stretch))
+		if kind.group.rank() <= rank && kind.estimate.maxSlowdown > 0 {
+			utilization = min(utilization, tolerableUtilization(v.slowdown, kind.estimate.maxSlowdown))
 		}
 	}
-	return least
+	return utilization
 }
 
-// forecast is the use of a service's slots in the next seconds as it concerns one rank.
+// forecast is the demand for a service's slots in the next seconds, as seen by one rank.
 type forecast struct {
 	view view
-	// factor is the slots in use for each one that is expected, busy those in use now.
-	factor, busy float64
-	rank         int
+	// calibration is the ratio of observed to forecast busy slots, busy the number of slots in use
+	// now.
+	calibration, busy float64
+	rank              int
 }
 
-// committed returns the slots that what is under way will use after a time in seconds. What is
-// in use without an expectation, such as that of programs whose gateway is gone, is taken to
-// end as other programs do.
+// committed returns the forecast demand of active programs after the given seconds. Busy slots that
+// no active program explains, for instance those of programs whose gateway has failed, are assumed
+// to be released at the rate of the slowest kind.
 func (f forecast) committed(after float64) float64 {
-	unexplained := max(0, f.busy-f.factor*f.view.expected(0))
-	longest := 0.0
+	unexplained := max(0, f.busy-f.calibration*f.view.expectedSlots(0))
+	longestStage := 0.0
 	for _, kind := range f.view.kinds {
-		longest = max(longest, kind.estimate.stage)
+		longestStage = max(longestStage, kind.estimate.stageTime)
 	}
-	return f.factor*f.view.expected(after) + unexplained*fading(after, longest)
+	return f.calibration*f.view.expectedSlots(after) + unexplained*expDecay(after, longestStage)
 }
 
-// reserved returns the slots that more urgent programs will ask for until after a time in
-// seconds.
-func (f forecast) reserved(after float64) float64 { return f.factor * f.view.reserved(f.rank, after) }
+// reservedSlots returns the slots that more urgent programs are expected to request within the
+// given seconds.
+func (f forecast) reservedSlots(after float64) float64 {
+	return f.calibration * f.view.reservedSlots(f.rank, after)
+}
 
 const (
-	// forecastStep is the distance of the moments that a forecast looks at, in seconds.
+	// forecastStep is the distance between the moments of a forecast, in seconds.
 	forecastStep = 0.25
-	// admissionSpan is for how long, in seconds, programs are taken to begin at the rate that is
-	// decided now. Taken for longer, long programs fill room that becomes free only slowly;
-	// it must exceed the time that reports take, or all gateways fill it at once.
-	admissionSpan = 1.0
+	// admissionWindow is for how many seconds programs are assumed to start at the rate that is
+	// decided now. A longer window would let long programs fill slots that are released only
+	// slowly. It must exceed the delay of reports, or all gateways fill the same slots at once.
+	admissionWindow = 1.0
 )
 
-// moment is a moment of the forecast.
+// moment is the forecast for one point in time.
 type moment struct {
-	// after is when it comes, in seconds.
+	// after is the time from now, in seconds.
 	after               float64
 	committed, reserved float64
-	// chance is the part of the programs that ask which leaves the room unexceeded.
-	chance float64
+	// probability is the fraction of arriving programs that stays within the slot limit.
+	probability float64
 }
 
-// at returns what the forecast says of the moment after a time in seconds.
-func (f forecast) at(room, after float64) moment {
-	seen := moment{after: after, committed: f.committed(after), reserved: f.reserved(after), chance: 1}
-	free := room - seen.committed - seen.reserved
-	asking := f.factor * f.view.asking(f.rank, after)
+// momentAt returns the forecast for the moment after the given seconds.
+func (f forecast) momentAt(slotLimit, after float64) moment {
+	result := moment{after: after, committed: f.committed(after), reserved: f.reservedSlots(after), probability: 1}
+	free := slotLimit - result.committed - result.reserved
+	requested := f.calibration * f.view.requestedSlots(f.rank, after)
 	switch {
 	case free <= 0:
-		seen.chance = 0
-	case asking > free:
-		seen.chance = free / asking
+		result.probability = 0
+	case requested > free:
+		result.probability = free / requested
 	}
-	return seen
+	return result
 }
 
-// tightest returns the moment at which the least part of the programs that ask finds room, from
-// the time on at which a decision is known to other gateways, and while a program that begins
-// now is under way: a short one need not leave what will be asked when it is over.
-func (f forecast) tightest(room, from float64, program estimate) moment {
+// peak returns the moment at which the smallest fraction of arriving programs fits. It considers
+// moments from start, when other gateways know of the decision, until a program that starts now
+// ends: a short program need not leave slots for demand that arises after its end.
+func (f forecast) peak(slotLimit, start float64, program estimate) moment {
 	const stages = 3
-	least := f.at(room, from)
-	for after := from + forecastStep; after <= min(longestWait.Seconds(), stages*program.stage); after += forecastStep {
-		if next := f.at(room, after); next.chance < least.chance {
-			least = next
+	lowest := f.momentAt(slotLimit, start)
+	for after := start + forecastStep; after <= min(forecastHorizon.Seconds(), stages*program.stageTime); after += forecastStep {
+		if next := f.momentAt(slotLimit, after); next.probability < lowest.probability {
+			lowest = next
 		}
 	}
-	return least
+	return lowest
 }
 
-// until returns when there is room for one more program.
-func (f forecast) until(room float64, program estimate) time.Duration {
-	for after := forecastStep; after < longestWait.Seconds(); after += forecastStep {
-		if f.committed(after)+f.reserved(after)+program.most() <= room {
+// timeUntilFree returns the time until the slot limit leaves room for one more program.
+func (f forecast) timeUntilFree(slotLimit float64, program estimate) time.Duration {
+	for after := forecastStep; after < forecastHorizon.Seconds(); after += forecastStep {
+		if f.committed(after)+f.reservedSlots(after)+program.peakSlots() <= slotLimit {
 			return seconds(after)
 		}
 	}
-	return longestWait
+	return forecastHorizon
 }
--- a/internal/admission/slowdown.go
+++ b/internal/admission/slowdown.go
@@ -1,107 +1,111 @@
 package admission
 
-// slowdown is how the time of a service's requests grows with the share of its slots in use,
-// over all instances. Instances differ in load at any moment, so this grows sooner than the
-// time on a single instance does.
+// slowdown records how the duration of a service's requests grows with the utilization of its
+// slots, over all instances. Load differs between instances at any moment, so the growth sets in
+// earlier than on a single instance.
 //
-// The first half of it counts requests by the share in use, the second half sums their times
-// in milliseconds. Each step fades with what is added to it, not with time: the next burst
-// finds what the last one taught. Both can be added over gateways.
-type slowdown [2 * shareSteps]float64
+// The first half counts requests by utilization, the second half sums their durations in
+// milliseconds. Each step decays with each new sample instead of with time, so that a burst can use
+// what was learned in the previous one. Both halves can be added over gateways.
+type slowdown [2 * utilizationSteps]float64
 
 const (
-	// shareSteps is into how many parts the slots of a service are divided.
-	shareSteps = 8
-	// requestMemory is how many requests of a step count.
-	requestMemory = 40
-	// leastRequests is how many requests tell the mean time of a step.
-	leastRequests = 20
-	// leastSteps is over how many steps the growth must be known before it is taken to go on
-	// beyond them: the difference of two neighbours is mostly chance.
-	leastSteps = 2
-	// leastStretch is the slowdown that is borne at least: programs that are late with it are
-	// late whatever is refused, so others must not be refused for them.
-	leastStretch = 1.25
-	// baseShare is up to which share in use the time of requests may stand for that without other
-	// load. While only more is known, no more than unknownShare may be in use, so that it is learned:
-	// by a time that was learned under load requests would seem never to slow down.
-	baseShare    = 0.375
-	unknownShare = baseShare - 0.5/shareSteps
-	// searchSteps is how finely the bearable share is searched for.
+	// utilizationSteps is the number of steps into which utilization is divided.
+	utilizationSteps = 8
+	// samplesPerStep is the effective number of samples in a step.
+	samplesPerStep = 40
+	// minSamples is how many requests must be observed in a step before its mean is used.
+	minSamples = 20
+	// minSlopeSteps is over how many steps the growth must be known before it is extrapolated: the
+	// difference between neighbouring steps is mostly noise.
+	minSlopeSteps = 2
+	// minToleratedSlowdown is the slowdown that is always tolerated: programs that miss their
+	// deadlines at this slowdown would miss them anyway, so no other programs are refused for them.
+	minToleratedSlowdown = 1.25
+	// baselineUtilization is the highest utilization at which request durations can serve as the
+	// baseline without load. While only higher utilizations have been observed, utilization is
+	// limited to unlearnedUtilization so that a baseline can be learned: with a baseline from under
+	// load, requests would seem never to slow down.
+	baselineUtilization  = 0.375
+	unlearnedUtilization = baselineUtilization - 0.5/utilizationSteps
+	// searchSteps is the resolution of the search for the tolerable utilization.
 	searchSteps = 64
 )
 
-// observe adds a request's time in milliseconds.
-func (s *slowdown) observe(share, took float64) {
-	step := min(shareSteps-1, max(0, int(share*shareSteps)))
-	s[step] -= s[step] / requestMemory
-	s[shareSteps+step] -= s[shareSteps+step] / requestMemory
+// observe adds a request's duration in milliseconds.
+func (s *slowdown) observe(utilization, tookMS float64) {
+	step := min(utilizationSteps-1, max(0, int(utilization*utilizationSteps)))
+	s[step] -= s[step] / samplesPerStep
+	s[utilizationSteps+step] -= s[utilizationSteps+step] / samplesPerStep
 	s[step]++
-	s[shareSteps+step] += took
+	s[utilizationSteps+step] += tookMS
 }
 
-// point is the mean time at a share of the slots in use.
-type point struct{ share, took float64 }
+// point is the mean request duration at one utilization.
+type point struct{ utilization, meanMS float64 }
 
-// points returns the mean times that are known, by share; they never fall.
+// points returns the known mean durations by utilization, made monotonically non-decreasing.
 func (s *slowdown) points() []point {
-	var known []point
+	var result []point
 	slowest := 0.0
-	for step := range shareSteps {
-		if s[step] < leastRequests {
+	for step := range utilizationSteps {
+		if s[step] < minSamples {
 			continue
 		}
-		slowest = max(slowest, s[shareSteps+step]/s[step])
-		known = append(known, point{share: (float64(step) + 0.5) / shareSteps, took: slowest})
+		slowest = max(slowest, s[utilizationSteps+step]/s[step])
+		result = append(result, point{utilization: (float64(step) + 0.5) / utilizationSteps, meanMS: slowest})
 	}
-	return known
+	return result
 }
 
-// based reports whether it is known how long requests take with few slots in use.
-func based(known []point) bool { return len(known) > 0 && known[0].share <= baseShare }
+// hasBaseline reports whether the request duration with few busy slots is known.
+func hasBaseline(points []point) bool {
+	return len(points) > 0 && points[0].utilization <= baselineUtilization
+}
 
-// at returns by how much longer than with few in use a request takes at a share of the slots;
-// 1 before that is known. Beyond the largest share that was seen it goes on to grow as before.
-func at(known []point, share float64) float64 {
-	if !based(known) || share <= known[0].share {
+// slowdownAt returns the factor by which requests take longer at the given utilization than with
+// few busy slots; 1 while the baseline is unknown. Beyond the highest observed utilization it
+// extrapolates linearly.
+func slowdownAt(points []point, utilization float64) float64 {
+	if !hasBaseline(points) || utilization <= points[0].utilization {
 		return 1
 	}
-	calm := known[0]
-	for place := 1; place < len(known); place++ {
-		before, after := known[place-1], known[place]
-		if share <= after.share {
-			part := (share - before.share) / (after.share - before.share)
-			return (before.took + part*(after.took-before.took)) / calm.took
+	baseline := points[0]
+	for i := 1; i < len(points); i++ {
+		before, after := points[i-1], points[i]
+		if utilization <= after.utilization {
+			fraction := (utilization - before.utilization) / (after.utilization - before.utilization)
+			return (before.meanMS + fraction*(after.meanMS-before.meanMS)) / baseline.meanMS
 		}
 	}
-	last := known[len(known)-1]
-	if last.share-calm.share < float64(leastSteps)/shareSteps {
-		return last.took / calm.took
+	last := points[len(points)-1]
+	if last.utilization-baseline.utilization < float64(minSlopeSteps)/utilizationSteps {
+		return last.meanMS / baseline.meanMS
 	}
-	growth := (last.took - calm.took) / (last.share - calm.share)
-	return (last.took + growth*(share-last.share)) / calm.took
+	growth := (last.meanMS - baseline.meanMS) / (last.utilization - baseline.utilization)
+	return (last.meanMS + growth*(utilization-last.utilization)) / baseline.meanMS
 }
 
-// explored returns the largest share that may be in use: one step beyond the largest one that was
-// seen until it is known how requests slow down.
-func explored(known []point) float64 {
-	last := known[len(known)-1].share
-	if last-known[0].share >= float64(leastSteps)/shareSteps {
+// exploredUtilization returns the highest utilization to allow: one step beyond the highest
+// observed one until the slowdown is known, then 1.
+func exploredUtilization(points []point) float64 {
+	last := points[len(points)-1].utilization
+	if last-points[0].utilization >= float64(minSlopeSteps)/utilizationSteps {
 		return 1
 	}
-	return min(1, max(unknownShare, last+1.0/shareSteps))
+	return min(1, max(unlearnedUtilization, last+1.0/utilizationSteps))
 }
 
-// bearable returns the share of the slots in use up to which requests take at most so many
-// times as long as with few in use, or leastStretch times.
-func bearable(known []point, most float64) float64 {
-	if !based(known) {
-		return unknownShare
+// tolerableUtilization returns the highest utilization at which requests slow down by at most
+// maxSlowdown, or minToleratedSlowdown if that is larger.
+func tolerableUtilization(points []point, maxSlowdown float64) float64 {
+	if !hasBaseline(points) {
+		return unlearnedUtilization
 	}
-	largest := explored(known)
+	largest := exploredUtilization(points)
 	for step := 1; step <= searchSteps; step++ {
-		share := float64(step) / searchSteps
-		if share > largest || at(known, share) > max(leastStretch, most) {
+		utilization := float64(step) / searchSteps
+		if utilization > largest || slowdownAt(points, utilization) > max(minToleratedSlowdown, maxSlowdown) {
 			return float64(step-1) / searchSteps
 		}
 	}
--- a/internal/admission/wire_test.go
+++ b/internal/admission/wire_test.go
@@ -10,6 +10,6 @@
 // Gateways of two versions exchange these figures.
 func TestFieldsOfFiguresKeepTheirNames(t *testing.T) {
 	wiretest.CheckFields(t, "testdata/fields.txt", map[string]reflect.Type{
-		"program figures": reflect.TypeFor[[]told](),
+		"program figures": reflect.TypeFor[[]entry](),
 	})
 }
