--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -58,7 +58,7 @@
 	require.EqualValues(t, 2, asked.Load())
 }
 
-// The decision spreads the times (TestRefusedCallersAreSpread of the package); each caller is
+// The decision spreads the times (TestRetryAfterIsJittered of the package); each caller is
 // told its own.
 func TestARefusedCallerIsToldTheDecisionsTime(t *testing.T) {
 	s := gatewayOf(t)
--- a/internal/overload/instances_test.go
+++ b/internal/overload/instances_test.go
@@ -11,66 +11,66 @@
 	state   string
 	share   float64
 	running int
-	queued  []*ask
-	asks    int
+	queue   []*sentRequest
+	sends   int
 }
 
-type ask struct {
+type sentRequest struct {
 	work     time.Duration
 	deadline time.Time
 	done     func(result backend.Ended, ran bool)
 }
 
-// send exchanges the request with an instance.
-func (r *replayed) send(c *call, choice backend.Choice, done func(backend.Ended, bool)) {
-	r.of(c.kind).Asks++
-	var machine *instanceModel
-	for _, known := range r.machines {
-		if known.id == choice.Instance.ID {
-			machine = known
+// send sends the request to an instance.
+func (r *simulation) send(c *call, choice backend.Choice, done func(backend.Ended, bool)) {
+	r.outcomeOf(c.kind).Sends++
+	var instance *instanceModel
+	for _, candidate := range r.instances {
+		if candidate.id == choice.Instance.ID {
+			instance = candidate
 		}
 	}
-	machine.asks++
-	asked := &ask{work: c.work, deadline: c.deadline, done: func(result backend.Ended, ran bool) {
-		r.after(hop, func() { done(result, ran) })
+	instance.sends++
+	sent := &sentRequest{work: c.work, deadline: c.deadline, done: func(result backend.Ended, ran bool) {
+		r.schedule(networkDelay, func() { done(result, ran) })
 	}}
 	switch {
-	case machine.state == "down":
-		r.of(c.kind).FailedAsks++
-		asked.done(backend.Unreachable, false)
-	case machine.state == "failing":
-		r.of(c.kind).FailedAsks++
-		asked.done(backend.Failed, true)
-	case machine.running < r.load.Slots:
-		r.start(machine, asked)
-	case len(machine.queued) < r.load.Queue:
-		machine.queued = append(machine.queued, asked)
+	case instance.state == "down":
+		r.outcomeOf(c.kind).FailedSends++
+		sent.done(backend.Unreachable, false)
+	case instance.state == "failing":
+		r.outcomeOf(c.kind).FailedSends++
+		sent.done(backend.Failed, true)
+	case instance.running < r.load.Slots:
+		r.start(instance, sent)
+	case len(instance.queue) < r.load.Queue:
+		instance.queue = append(instance.queue, sent)
 	default:
-		asked.done(backend.Full, false)
+		sent.done(backend.Full, false)
 	}
 }
 
-func (r *replayed) start(machine *instanceModel, asked *ask) {
-	busy := float64(machine.running) / float64(r.load.Slots)
-	machine.running++
-	r.after(time.Duration(float64(asked.work)*(1+r.load.Contention*busy)), func() {
-		machine.running--
+func (r *simulation) start(instance *instanceModel, sent *sentRequest) {
+	busy := float64(instance.running) / float64(r.load.Slots)
+	instance.running++
+	r.schedule(time.Duration(float64(sent.work)*(1+r.load.Contention*busy)), func() {
+		instance.running--
 		switch {
-		case machine.state == "down":
-			asked.done(backend.Unreachable, true)
-		case machine.state == "losing" && r.random.Float64() < machine.share:
-			asked.done(backend.Failed, true)
+		case instance.state == "down":
+			sent.done(backend.Unreachable, true)
+		case instance.state == "losing" && r.random.Float64() < instance.share:
+			sent.done(backend.Failed, true)
 		default:
-			asked.done(backend.Answered, true)
+			sent.done(backend.Answered, true)
 		}
-		for len(machine.queued) > 0 && machine.running < r.load.Slots {
-			next := machine.queued[0]
-			machine.queued = machine.queued[1:]
+		for len(instance.queue) > 0 && instance.running < r.load.Slots {
+			next := instance.queue[0]
+			instance.queue = instance.queue[1:]
 			if !r.now.Before(next.deadline) {
 				next.done(backend.Full, false)
 				continue
 			}
-			r.start(machine, next)
+			r.start(instance, next)
 		}
 	})
 }
--- a/internal/overload/load_test.go
+++ b/internal/overload/load_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loads are the names of all recorded load patterns.
-func loads(t *testing.T) []string {
+// loadNames returns the names of all recorded load patterns.
+func loadNames(t *testing.T) []string {
 	files, err := filepath.Glob(filepath.Join("..", "..", "testdata", "load", "*.json"))
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -20,53 +20,52 @@
 	return names
 }
 
-func TestEachLoadEndsAsStated(t *testing.T) {
-	for _, name := range loads(t) {
+func TestLoadsMeetExpectations(t *testing.T) {
+	for _, name := range loadNames(t) {
 		t.Run(name, func(t *testing.T) {
-			played := readLoad(t, name)
-			outcomes := replay(played, 1, newDecided)
-			require.Len(t, outcomes, len(played.Expect))
-			for kind, stated := range played.Expect {
-				seen := outcomes[kind]
-				require.GreaterOrEqual(t, seen.InTime, stated.InTime, "%s in time", kind)
-				require.LessOrEqual(t, seen.Late, stated.Late, "%s late", kind)
-				require.LessOrEqual(t, seen.RefusedFirst+seen.RefusedAgain, stated.Refused, "%s refused", kind)
-				require.LessOrEqual(t, seen.Failed, stated.Failed, "%s failed", kind)
-				require.LessOrEqual(t, seen.FailedAsks, stated.FailedAsks, "sends of %s that failed", kind)
-				require.LessOrEqual(t, int(seen.HeldInVain.Milliseconds()), stated.HeldMS, "ms for which %s were held in vain", kind)
+			pattern := readLoad(t, name)
+			outcomes := replay(pattern, 1, newQueuePolicy)
+			require.Len(t, outcomes, len(pattern.Expect))
+			for kind, expected := range pattern.Expect {
+				result := outcomes[kind]
+				require.GreaterOrEqual(t, result.InTime, expected.InTime, "%s in time", kind)
+				require.LessOrEqual(t, result.Late, expected.Late, "%s late", kind)
+				require.LessOrEqual(t, result.RefusedFirst+result.RefusedAgain, expected.Refused, "%s refused", kind)
+				require.LessOrEqual(t, result.Failed, expected.Failed, "%s failed", kind)
+				require.LessOrEqual(t, result.FailedSends, expected.FailedAsks, "sends of %s that failed", kind)
+				require.LessOrEqual(t, int(result.WastedWait.Milliseconds()), expected.HeldMS, "ms for which %s waited before they were refused", kind)
 			}
 		})
 	}
 }
 
-// total returns how many callers were served in time.
-func total(outcomes map[string]*outcome) int {
+// totalInTime returns how many callers were served in time.
+func totalInTime(outcomes map[string]*outcome) int {
 	sum := 0
-	for _, seen := range outcomes {
-		sum += seen.InTime
+	for _, result := range outcomes {
+		sum += result.InTime
 	}
 	return sum
 }
 
-// The decision is kept because it serves more callers in time than the ways that were weighed
-// against it, on the same arrivals. Without ranks, less urgent callers take the place of urgent
-// ones in a burst.
-func TestOtherWaysServeFewerInTime(t *testing.T) {
-	for _, other := range []struct {
+// The alternatives serve fewer callers in time on the same arrivals. Without ranks, less urgent
+// callers displace urgent ones in a burst.
+func TestAlternativePoliciesServeFewerInTime(t *testing.T) {
+	for _, alternative := range []struct {
 		name, load string
-		way        func() waitPolicy
+		newPolicy  func() waitPolicy
 		ranks      bool
 	}{
 		{"half of the deadline", "zone-gone-and-back", newHalfDeadline, false},
-		{"first come", "zone-gone-and-back", newFirstCome, false},
-		{"equal", "burst-of-one-kind", newEqual, true},
+		{"first come first served", "zone-gone-and-back", newFIFO, false},
+		{"equal ranks", "burst-of-one-kind", newRanklessPolicy, true},
 	} {
-		t.Run(other.name, func(t *testing.T) {
-			played := readLoad(t, other.load)
-			kept, weighed := replay(played, 2, newDecided), replay(played, 2, other.way)
-			require.Greater(t, kept["urgent"].InTime, weighed["urgent"].InTime)
-			if !other.ranks {
-				require.Greater(t, total(kept), total(weighed))
+		t.Run(alternative.name, func(t *testing.T) {
+			pattern := readLoad(t, alternative.load)
+			current, other := replay(pattern, 2, newQueuePolicy), replay(pattern, 2, alternative.newPolicy)
+			require.Greater(t, current["urgent"].InTime, other["urgent"].InTime)
+			if !alternative.ranks {
+				require.Greater(t, totalInTime(current), totalInTime(other))
 			}
 		})
 	}
--- a/internal/overload/policies_test.go
+++ b/internal/overload/policies_test.go
@@ -7,23 +7,25 @@
 	"swiftbank.dev/swiftbank/internal/overload"
 )
 
-// decided is the decision under test.
-type decided struct {
+// queuePolicy is the policy under test.
+type queuePolicy struct {
 	queue *overload.Queue
-	// equal gives all requests one rank.
-	equal bool
-	// programs admits new programs by what those under way will need; nil to leave that out.
+	// ignoreRanks gives all requests the same rank.
+	ignoreRanks bool
+	// programs controls the admission of new programs; nil for no admission control.
 	programs *admission.Controller
 }
 
-func newDecided() waitPolicy { return &decided{queue: overload.NewQueue()} }
-func newAdmitting() waitPolicy {
-	return &decided{queue: overload.NewQueue(), programs: admission.NewController()}
+func newQueuePolicy() waitPolicy { return &queuePolicy{queue: overload.NewQueue()} }
+func newAdmissionPolicy() waitPolicy {
+	return &queuePolicy{queue: overload.NewQueue(), programs: admission.NewController()}
+}
+func newRanklessPolicy() waitPolicy {
+	return &queuePolicy{queue: overload.NewQueue(), ignoreRanks: true}
 }
-func newEqual() waitPolicy { return &decided{queue: overload.NewQueue(), equal: true} }
 
-func (p *decided) refused(now, _ time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration) {
-	if p.equal {
+func (p *queuePolicy) decide(now, _ time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration) {
+	if p.ignoreRanks {
 		request.FirstOfProgram, request.RouteRank, request.TenantRank = false, 0, 0
 	}
 	decision := p.queue.Decide(now, request, capacity)
@@ -32,50 +34,51 @@
 	}
 	return decision.Pause, 0
 }
-func (p *decided) taken(now time.Time, id string) { p.queue.Accepted(now, id) }
-func (p *decided) left(id string)                 { p.queue.Remove(id) }
+func (p *queuePolicy) accepted(now time.Time, id string) { p.queue.Accepted(now, id) }
+func (p *queuePolicy) removed(id string)                 { p.queue.Remove(id) }
 
-// halfDeadline asks every 25 ms for half of the deadline and names one pause to all callers.
+// halfDeadline polls every 25 ms for half of the deadline and returns the same Retry-After to all
+// callers.
 type halfDeadline struct{}
 
 func newHalfDeadline() waitPolicy { return halfDeadline{} }
 
-func (halfDeadline) refused(now, arrived time.Time, request overload.Request, _ overload.Capacity) (pause, retryAfter time.Duration) {
+func (halfDeadline) decide(now, arrived time.Time, request overload.Request, _ overload.Capacity) (pause, retryAfter time.Duration) {
 	if now.After(arrived.Add(request.Deadline.Sub(arrived) / 2)) {
 		return 0, 150 * time.Millisecond
 	}
 	return 25 * time.Millisecond, 0
 }
-func (halfDeadline) taken(time.Time, string) {}
-func (halfDeadline) left(string)             {}
+func (halfDeadline) accepted(time.Time, string) {}
+func (halfDeadline) removed(string)             {}
 
-// firstCome lets only the first of a gateway's requests ask, for half of the deadline.
-type firstCome struct {
+// fifoPolicy lets only the first request of a gateway poll, for half of the deadline.
+type fifoPolicy struct {
 	halfDeadline
-	line []string
+	fifo []string
 }
 
-func newFirstCome() waitPolicy { return &firstCome{} }
+func newFIFO() waitPolicy { return &fifoPolicy{} }
 
-func (p *firstCome) refused(now, arrived time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration) {
-	pause, retryAfter = p.halfDeadline.refused(now, arrived, request, capacity)
+func (p *fifoPolicy) decide(now, arrived time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration) {
+	pause, retryAfter = p.halfDeadline.decide(now, arrived, request, capacity)
 	if pause == 0 {
-		p.left(request.ID)
+		p.removed(request.ID)
 		return pause, retryAfter
 	}
-	for position, id := range p.line {
+	for position, id := range p.fifo {
 		if id == request.ID {
 			return pause * time.Duration(1+position), 0
 		}
 	}
-	p.line = append(p.line, request.ID)
-	return pause * time.Duration(len(p.line)), 0
+	p.fifo = append(p.fifo, request.ID)
+	return pause * time.Duration(len(p.fifo)), 0
 }
-func (p *firstCome) taken(_ time.Time, id string) { p.left(id) }
-func (p *firstCome) left(gone string) {
-	for position, id := range p.line {
-		if id == gone {
-			p.line = append(p.line[:position], p.line[position+1:]...)
+func (p *fifoPolicy) accepted(_ time.Time, id string) { p.removed(id) }
+func (p *fifoPolicy) removed(removed string) {
+	for position, id := range p.fifo {
+		if id == removed {
+			p.fifo = append(p.fifo[:position], p.fifo[position+1:]...)
 			return
 		}
 	}
--- a/internal/overload/programs_test.go
+++ b/internal/overload/programs_test.go
@@ -14,22 +14,22 @@
 	"swiftbank.dev/swiftbank/internal/tally"
 )
 
-// reportTrouble is what goes wrong with the reports on programs.
-type reportTrouble struct {
-	// MostLateMS bounds by how much a report is late, evenly; Lost and Doubled are the shares of
-	// reports that never come, or come twice.
+// reportFaults describes the faults of program reports.
+type reportFaults struct {
+	// Reports are delayed by a time uniformly distributed up to MostLateMS. Lost and Doubled are
+	// the fractions of reports that are lost or arrive twice.
 	MostLateMS, Lost, Doubled float64
-	// The first gateway reports nothing from SilentAtMS on, or starts again at RestartAtMS, or
-	// all of them start again at RestartAllAtMS, where these are set.
+	// The first gateway stops reporting at SilentAtMS or restarts at RestartAtMS; all gateways
+	// restart at RestartAllAtMS. 0 means never.
 	SilentAtMS, RestartAtMS, RestartAllAtMS float64
-	// Recall has gateways that start anew go on with what was learned before.
+	// Recall lets restarted gateways restore a snapshot.
 	Recall bool
 }
 
-// reportsAtOnce is how many others a gateway reports to each time.
-const reportsAtOnce = 2
+// reportFanout is how many other gateways receive each report.
+const reportFanout = 2
 
-// width returns how many requests a turn makes at once.
+// width returns how many concurrent requests a turn consists of.
 func (k kind) width(turn int) int {
 	if turn < len(k.Widths) {
 		return k.Widths[turn]
@@ -37,75 +37,75 @@
 	return 1
 }
 
-// playPrograms has the gateways report on programs.
-func (r *replayed) playPrograms(newPolicy func() waitPolicy) {
+// startProgramReports starts the exchange of program reports and schedules the restarts.
+func (r *simulation) startProgramReports(newPolicy func() waitPolicy) {
 	if r.load.Watch != nil {
 		r.load.Watch(r)
 	}
-	if policy, decides := newPolicy().(*decided); !decides || policy.programs == nil {
+	if policy, isQueuePolicy := newPolicy().(*queuePolicy); !isQueuePolicy || policy.programs == nil {
 		return
 	}
-	r.after(reportEvery, func() { r.reportPrograms(1) })
+	r.schedule(reportInterval, func() { r.reportPrograms(1) })
 	if at := r.load.Reports.RestartAtMS; at > 0 {
-		r.after(milliseconds(at), func() { r.gateways[0].policy = newPolicy() })
+		r.schedule(milliseconds(at), func() { r.gateways[0].policy = newPolicy() })
 	}
 	if at := r.load.Reports.RestartAllAtMS; at > 0 {
-		r.after(milliseconds(at), func() {
-			learned := r.learned()
+		r.schedule(milliseconds(at), func() {
+			snapshot := r.snapshot()
 			for _, gateway := range r.gateways {
 				gateway.policy = newPolicy()
-				gateway.policy.(*decided).programs.Restore(r.now, learned, keepEvery)
+				gateway.policy.(*queuePolicy).programs.Restore(r.now, snapshot, snapshotAge)
 			}
 		})
 	}
 }
 
-// keepEvery is how old what was kept of the gateways' figures is at a start of all of them.
-const keepEvery = 2 * time.Second
+// snapshotAge is the age of the snapshot when all gateways restart.
+const snapshotAge = 2 * time.Second
 
-// learned returns what a gateway that starts anew is told.
-func (r *replayed) learned() map[admission.Key]float64 {
+// snapshot returns the snapshot that restarted gateways restore; nil without Recall.
+func (r *simulation) snapshot() map[admission.Key]float64 {
 	if !r.load.Reports.Recall {
 		return nil
 	}
-	return r.gateways[0].policy.(*decided).programs.Snapshot(r.now)
+	return r.gateways[0].policy.(*queuePolicy).programs.Snapshot(r.now)
 }
 
-func (r *replayed) reportPrograms(number int) {
-	trouble := r.load.Reports
+func (r *simulation) reportPrograms(number int) {
+	faults := r.load.Reports
 	for i, gateway := range r.gateways {
-		if i == 0 && trouble.SilentAtMS > 0 && r.now.After(r.began.Add(milliseconds(trouble.SilentAtMS))) {
+		if i == 0 && faults.SilentAtMS > 0 && r.now.After(r.startedAt.Add(milliseconds(faults.SilentAtMS))) {
 			continue
 		}
-		figures := gateway.policy.(*decided).programs.Figures(r.now)
+		figures := gateway.policy.(*queuePolicy).programs.Figures(r.now)
 		encoded, err := admission.Encode(figures)
-		for told := range reportsAtOnce {
-			other := r.gateways[(i+1+(number*reportsAtOnce+told)%(len(r.gateways)-1))%len(r.gateways)]
+		for target := range reportFanout {
+			other := r.gateways[(i+1+(number*reportFanout+target)%(len(r.gateways)-1))%len(r.gateways)]
 			copies := 1
 			switch chance := r.random.Float64(); {
-			case chance < trouble.Lost || err != nil:
+			case chance < faults.Lost || err != nil:
 				copies = 0
-			case chance < trouble.Lost+trouble.Doubled:
+			case chance < faults.Lost+faults.Doubled:
 				copies = 2
 			}
 			for range copies {
-				r.after(milliseconds(trouble.MostLateMS*r.random.Float64()), func() {
-					if said, err := admission.Decode(encoded); err == nil {
-						other.policy.(*decided).programs.ReplaceReport(r.now, tally.Source{Gateway: fmt.Sprint(i)}, said)
+				r.schedule(milliseconds(faults.MostLateMS*r.random.Float64()), func() {
+					if received, err := admission.Decode(encoded); err == nil {
+						other.policy.(*queuePolicy).programs.ReplaceReport(r.now, tally.Source{Gateway: fmt.Sprint(i)}, received)
 					}
 				})
 			}
 		}
 	}
-	r.after(reportEvery, func() { r.reportPrograms(number + 1) })
+	r.schedule(reportInterval, func() { r.reportPrograms(number + 1) })
 }
 
 func (c *call) programKind() admission.Kind {
 	return admission.Kind{Service: "s", Route: c.kind, Rank: c.spec.Rank}
 }
 
-// mayBegin reports whether the program of a first request may begin.
-func (r *replayed) mayBegin(c *call, policy *decided, id string, capacity overload.Capacity) bool {
+// mayStart reports whether a request may proceed as far as the admission of programs is concerned.
+func (r *simulation) mayStart(c *call, policy *queuePolicy, id string, capacity overload.Capacity) bool {
 	if policy.programs == nil || !c.first || c.admission.Verdict == admission.Admit {
 		return true
 	}
@@ -123,7 +123,7 @@
 	return true
 }
 
-// held returns what the admission of programs says of a request that may not begin.
+// held returns the delay of a request that admission held or refused.
 func (c *call) held() (pause, retryAfter time.Duration, held bool) {
 	switch decision := c.admission; decision.Verdict {
 	case admission.Hold:
@@ -136,9 +136,9 @@
 	}
 }
 
-func (g *gatewayModel) turnEnded(now time.Time, c *call, choice backend.Choice) {
-	policy, decides := g.policy.(*decided)
-	if !decides || policy.programs == nil || c.spec.Turns == 0 {
+func (g *gatewayModel) turnCompleted(now time.Time, c *call, choice backend.Choice) {
+	policy, isQueuePolicy := g.policy.(*queuePolicy)
+	if !isQueuePolicy || policy.programs == nil || c.spec.Turns == 0 {
 		return
 	}
 	capacity := g.directory.Capacity(now, "s")
@@ -148,60 +148,60 @@
 	})
 }
 
-// The loads on programs that unfold hold a burst from burstFrom to burstTo, in which programs
-// ask at burstFactor times the rate that fits.
+// The loads of programs that fan out contain a burst from burstFrom to burstTo.
 const (
 	burstFrom = 12 * time.Second
 	burstTo   = 24 * time.Second
 )
 
-// unfolding returns the load on programs that unfold with so many times its rates in the burst.
-func unfolding(t *testing.T, factor float64) load {
-	played := readLoad(t, "programs-that-unfold")
-	for place, wave := range played.Arrivals {
-		if milliseconds(wave.FromMS) == burstFrom {
-			played.Arrivals[place].PerS *= factor
+// fanOutLoad returns the load of programs that fan out, with the rates of the burst multiplied by
+// factor. At factor 1 the programs fit.
+func fanOutLoad(t *testing.T, factor float64) load {
+	pattern := readLoad(t, "programs-that-unfold")
+	for i, phase := range pattern.Arrivals {
+		if milliseconds(phase.FromMS) == burstFrom {
+			pattern.Arrivals[i].PerS *= factor
 		}
 	}
-	return played
+	return pattern
 }
 
-// replaySeeds is with how many seeds replayAll plays a load.
+// replaySeeds is the number of seeds with which replayAll replays a load.
 const replaySeeds = 2
 
-// replayAll plays a load with several seeds, side by side, and adds up what became of the callers.
-func replayAll(played load, way func() waitPolicy) map[string]*outcome {
+// replayAll replays a load with several seeds concurrently and adds up the outcomes.
+func replayAll(pattern load, newPolicy func() waitPolicy) map[string]*outcome {
 	var outcomes [replaySeeds]map[string]*outcome
 	var replays conc.WaitGroup
 	for seed := range outcomes {
-		replays.Go(func() { outcomes[seed] = replay(played, uint64(seed)+1, way) })
+		replays.Go(func() { outcomes[seed] = replay(pattern, uint64(seed)+1, newPolicy) })
 	}
 	replays.Wait()
 	total := map[string]*outcome{}
-	for _, each := range outcomes {
-		for kind, seen := range each {
+	for _, result := range outcomes {
+		for kind, add := range result {
 			if total[kind] == nil {
 				total[kind] = &outcome{}
 			}
-			total[kind].InTime += seen.InTime
-			total[kind].Late += seen.Late
-			total[kind].RefusedAgain += seen.RefusedFirst + seen.RefusedAgain
-			total[kind].TimesInTime = append(total[kind].TimesInTime, seen.TimesInTime...)
+			total[kind].InTime += add.InTime
+			total[kind].Late += add.Late
+			total[kind].RefusedAgain += add.RefusedFirst + add.RefusedAgain
+			total[kind].CompletedAt = append(total[kind].CompletedAt, add.CompletedAt...)
 		}
 	}
 	return total
 }
 
-// inTime returns the part of a kind's callers that were served in time.
-func inTime(seen *outcome) float64 {
-	return float64(seen.InTime) / float64(seen.InTime+seen.Late+seen.RefusedAgain+seen.Failed)
+// inTime returns the fraction of a kind's callers that were served in time.
+func inTime(result *outcome) float64 {
+	return float64(result.InTime) / float64(result.InTime+result.Late+result.RefusedAgain+result.Failed)
 }
 
-// between counts the programs that ended in time in a span of the load.
-func between(outcomes map[string]*outcome, from, to time.Duration) int {
+// inTimeBetween counts the programs that completed in time within a part of the load.
+func inTimeBetween(outcomes map[string]*outcome, from, to time.Duration) int {
 	count := 0
-	for _, seen := range outcomes {
-		for _, at := range seen.TimesInTime {
+	for _, result := range outcomes {
+		for _, at := range result.CompletedAt {
 			if at >= from && at < to {
 				count++
 			}
@@ -211,169 +211,170 @@
 }
 
 const (
-	// settleTime is how long after the begin or the end of a burst programs that were admitted
-	// before are under way: as long as the longest one may take.
-	settleTime = 2400 * time.Millisecond
-	// leastGoodput is the part of the goodput without a burst that is left in any burst.
-	leastGoodput = 0.9
+	// drainTime is how long after the start or end of a burst programs admitted before are active:
+	// the longest time a program may take.
+	drainTime = 2400 * time.Millisecond
+	// minGoodputRatio is the minimum goodput during a burst, relative to the goodput without it.
+	minGoodputRatio = 0.9
 )
 
-// goodput returns how many programs ended in time while the burst lasted.
+// goodput returns how many programs completed in time during the burst.
 func goodput(outcomes map[string]*outcome) int {
-	return between(outcomes, burstFrom+settleTime, burstTo)
+	return inTimeBetween(outcomes, burstFrom+drainTime, burstTo)
 }
 
-var playedWithoutBurst map[string]*outcome
+var baselineOutcomes map[string]*outcome
 
-// withoutBurst returns what becomes of the callers while as many ask as fit.
-func withoutBurst(t *testing.T) map[string]*outcome {
-	if playedWithoutBurst == nil {
-		playedWithoutBurst = replayAll(unfolding(t, 1), newAdmitting)
+// baseline returns the outcomes of a load that fits.
+func baseline(t *testing.T) map[string]*outcome {
+	if baselineOutcomes == nil {
+		baselineOutcomes = replayAll(fanOutLoad(t, 1), newAdmissionPolicy)
 	}
-	return playedWithoutBurst
+	return baselineOutcomes
 }
 
-func TestGoodputStaysWhileTooManyProgramsAsk(t *testing.T) {
-	usual := goodput(withoutBurst(t))
+func TestGoodputIsKeptWhileTooManyProgramsStart(t *testing.T) {
+	expected := goodput(baseline(t))
 	for _, factor := range []float64{1.5, 2, 3} {
 		t.Run(fmt.Sprint(factor, " times"), func(t *testing.T) {
-			played := unfolding(t, factor)
-			played.Seconds = burstTo.Seconds()
-			kept := replayAll(played, newAdmitting)
-			require.GreaterOrEqual(t, float64(goodput(kept)), leastGoodput*float64(usual))
-			require.GreaterOrEqual(t, inTime(kept["urgent"]), inTime(kept["usual"]))
+			pattern := fanOutLoad(t, factor)
+			pattern.Seconds = burstTo.Seconds()
+			outcomes := replayAll(pattern, newAdmissionPolicy)
+			require.GreaterOrEqual(t, float64(goodput(outcomes)), minGoodputRatio*float64(expected))
+			require.GreaterOrEqual(t, inTime(outcomes["urgent"]), inTime(outcomes["usual"]))
 		})
 	}
 }
 
-// Admission by the slots that are free now was weighed: it serves fewer in time.
-func TestFreeSlotsAloneAdmitTooManyPrograms(t *testing.T) {
-	played := unfolding(t, 2)
-	played.Seconds = burstTo.Seconds()
-	require.Greater(t, goodput(replayAll(played, newAdmitting)), goodput(replayAll(played, newDecided)))
+// Admission by currently free slots alone serves fewer programs in time.
+func TestAdmissionByFreeSlotsAloneAdmitsTooManyPrograms(t *testing.T) {
+	pattern := fanOutLoad(t, 2)
+	pattern.Seconds = burstTo.Seconds()
+	require.Greater(t, goodput(replayAll(pattern, newAdmissionPolicy)), goodput(replayAll(pattern, newQueuePolicy)))
 }
 
-func TestGoodputIsBackOnceABurstIsOver(t *testing.T) {
-	from, to := burstTo+settleTime, burstTo+settleTime+8*time.Second
-	usual := between(withoutBurst(t), from, to)
-	after := between(replayAll(unfolding(t, 3), newAdmitting), from, to)
-	require.GreaterOrEqual(t, float64(after), leastGoodput*float64(usual))
+func TestGoodputRecoversAfterABurst(t *testing.T) {
+	from, to := burstTo+drainTime, burstTo+drainTime+8*time.Second
+	expected := inTimeBetween(baseline(t), from, to)
+	after := inTimeBetween(replayAll(fanOutLoad(t, 3), newAdmissionPolicy), from, to)
+	require.GreaterOrEqual(t, float64(after), minGoodputRatio*float64(expected))
 }
 
-// patient has all callers come back until their deadline.
-func patient(played load) load {
+// withRetries lets all callers retry until their deadline.
+func withRetries(pattern load) load {
 	const attempts = 10
-	for name, kind := range played.Kinds {
+	for name, kind := range pattern.Kinds {
 		kind.Retries = attempts
-		played.Kinds[name] = kind
+		pattern.Kinds[name] = kind
 	}
-	return played
+	return pattern
 }
 
-// Most programs that ask while callers come back again and again cannot be in time any more.
-// Admitted, they would make those late that still can.
-func TestGoodputStaysWhileCallersComeBack(t *testing.T) {
-	played := patient(unfolding(t, 3))
-	from := burstTo + milliseconds(played.Kinds["urgent"].DeadlineMS) + settleTime
+// While callers retry repeatedly, most arriving programs can no longer meet their deadline.
+// Admitting them would make others late that still can.
+func TestGoodputIsKeptWhileCallersRetry(t *testing.T) {
+	pattern := withRetries(fanOutLoad(t, 3))
+	from := burstTo + milliseconds(pattern.Kinds["urgent"].DeadlineMS) + drainTime
 	to := from + 8*time.Second
-	kept := replayAll(played, newAdmitting)
-	require.GreaterOrEqual(t, float64(goodput(kept)), leastGoodput*float64(goodput(withoutBurst(t))))
-	require.GreaterOrEqual(t, float64(between(kept, from, to)), leastGoodput*float64(between(withoutBurst(t), from, to)))
+	outcomes := replayAll(pattern, newAdmissionPolicy)
+	require.GreaterOrEqual(t, float64(goodput(outcomes)), minGoodputRatio*float64(goodput(baseline(t))))
+	require.GreaterOrEqual(t, float64(inTimeBetween(outcomes, from, to)), minGoodputRatio*float64(inTimeBetween(baseline(t), from, to)))
 }
 
-// Gateways that all learn anew in the middle of a burst meet late programs and callers that
-// were refused before, and must not take them for the usual ones.
-func TestForecastServesMoreAfterAllGatewaysStartAnewInABurst(t *testing.T) {
-	played := patient(unfolding(t, 3))
-	played.Reports.RestartAllAtMS = 16000
-	played.Seconds = burstTo.Seconds()
-	require.Greater(t, goodput(replayAll(played, newAdmitting)), goodput(replayAll(played, newDecided)))
+// Gateways that all restart during a burst observe late programs and retries of callers refused
+// before the restart. They must not learn from these as if they were normal.
+func TestForecastServesMoreAfterAllGatewaysRestartInABurst(t *testing.T) {
+	pattern := withRetries(fanOutLoad(t, 3))
+	pattern.Reports.RestartAllAtMS = 16000
+	pattern.Seconds = burstTo.Seconds()
+	require.Greater(t, goodput(replayAll(pattern, newAdmissionPolicy)), goodput(replayAll(pattern, newQueuePolicy)))
 }
 
-// Goodput is to stay as high as in any burst also when all gateways start anew in its middle.
-func TestGoodputStaysWhenAllGatewaysStartAnewInABurst(t *testing.T) {
+// Goodput during a burst must not drop when all gateways restart.
+func TestGoodputIsKeptWhenAllGatewaysRestartInABurst(t *testing.T) {
 	const restart = 16 * time.Second
-	played := patient(unfolding(t, 3))
-	played.Reports.RestartAllAtMS = float64(restart.Milliseconds())
-	played.Seconds = burstTo.Seconds()
-	usual := between(withoutBurst(t), restart, burstTo)
-	after := between(replayAll(played, newAdmitting), restart, burstTo)
-	require.GreaterOrEqual(t, float64(after), leastGoodput*float64(usual))
+	pattern := withRetries(fanOutLoad(t, 3))
+	pattern.Reports.RestartAllAtMS = float64(restart.Milliseconds())
+	pattern.Seconds = burstTo.Seconds()
+	expected := inTimeBetween(baseline(t), restart, burstTo)
+	after := inTimeBetween(replayAll(pattern, newAdmissionPolicy), restart, burstTo)
+	require.GreaterOrEqual(t, float64(after), minGoodputRatio*float64(expected))
 }
 
-// The time of requests without load that gateways learned first was one under load in these runs.
-// From then on all slots counted as room, and all programs were late until the load was gone.
-func TestGoodputStaysWhateverGatewaysLearnFirst(t *testing.T) {
-	usual := goodput(withoutBurst(t)) / replaySeeds
+// In these runs the first durations that gateways learned, taken as the baseline without load, came
+// from under load. Requests then seemed not to slow down, all slots were usable, and all programs
+// were late until the load ended.
+func TestGoodputIsKeptWhateverGatewaysLearnFirst(t *testing.T) {
+	expected := goodput(baseline(t)) / replaySeeds
 	for _, run := range []struct {
 		factor float64
 		seed   uint64
 	}{{2, 18}, {2, 29}, {2, 46}, {3, 29}} {
 		t.Run(fmt.Sprintf("%v times, seed %d", run.factor, run.seed), func(t *testing.T) {
 			t.Parallel()
-			played := patient(unfolding(t, run.factor))
-			played.Seconds = burstTo.Seconds()
-			kept := replay(played, run.seed, newAdmitting)
-			require.GreaterOrEqual(t, float64(goodput(kept)), leastGoodput*float64(usual))
+			pattern := withRetries(fanOutLoad(t, run.factor))
+			pattern.Seconds = burstTo.Seconds()
+			outcomes := replay(pattern, run.seed, newAdmissionPolicy)
+			require.GreaterOrEqual(t, float64(goodput(outcomes)), minGoodputRatio*float64(expected))
 		})
 	}
 }
 
-func TestGoodputStaysWhileReportsFail(t *testing.T) {
-	usual := goodput(withoutBurst(t))
-	for name, trouble := range map[string]reportTrouble{
-		"late":                    {MostLateMS: 600},
-		"lost":                    {MostLateMS: 100, Lost: 0.5},
-		"doubled":                 {MostLateMS: 100, Doubled: 0.5},
-		"one gateway silent":      {MostLateMS: 100, SilentAtMS: 10000},
-		"one gateway starts anew": {MostLateMS: 100, RestartAtMS: 16000},
+func TestGoodputIsKeptWhileReportsFail(t *testing.T) {
+	expected := goodput(baseline(t))
+	for name, faults := range map[string]reportFaults{
+		"late":                 {MostLateMS: 600},
+		"lost":                 {MostLateMS: 100, Lost: 0.5},
+		"doubled":              {MostLateMS: 100, Doubled: 0.5},
+		"one gateway silent":   {MostLateMS: 100, SilentAtMS: 10000},
+		"one gateway restarts": {MostLateMS: 100, RestartAtMS: 16000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			played := unfolding(t, 2)
-			played.Seconds = burstTo.Seconds()
-			played.Reports = trouble
-			require.GreaterOrEqual(t, float64(goodput(replayAll(played, newAdmitting))), leastGoodput*float64(usual))
+			pattern := fanOutLoad(t, 2)
+			pattern.Seconds = burstTo.Seconds()
+			pattern.Reports = faults
+			require.GreaterOrEqual(t, float64(goodput(replayAll(pattern, newAdmissionPolicy))), minGoodputRatio*float64(expected))
 		})
 	}
 }
 
-// Gateways that all admit on the same report, and all refuse on the next one, would leave the
-// slots full and empty by turns.
-func TestProgramsAreAdmittedWithoutWaves(t *testing.T) {
-	const look = 100 * time.Millisecond
-	played := unfolding(t, 3)
+// If all gateways admit on one report and refuse on the next, the number of busy slots oscillates.
+func TestProgramsAreAdmittedWithoutOscillation(t *testing.T) {
+	const interval = 100 * time.Millisecond
+	pattern := fanOutLoad(t, 3)
 	var running []float64
-	var sample func(r *replayed)
-	sample = func(r *replayed) {
-		if at := r.now.Sub(r.began); at >= burstFrom+settleTime && at < burstTo {
+	var sample func(r *simulation)
+	sample = func(r *simulation) {
+		if at := r.now.Sub(r.startedAt); at >= burstFrom+drainTime && at < burstTo {
 			total := 0
-			for _, machine := range r.machines {
-				total += machine.running
+			for _, instance := range r.instances {
+				total += instance.running
 			}
 			running = append(running, float64(total))
 		}
-		r.after(look, func() { sample(r) })
+		r.schedule(interval, func() { sample(r) })
 	}
-	played.Watch = sample
-	replay(played, 1, newAdmitting)
-	sum, most := 0.0, 0.0
-	for _, each := range running {
-		sum += each
-		most = max(most, each)
+	pattern.Watch = sample
+	replay(pattern, 1, newAdmissionPolicy)
+	sum, peak := 0.0, 0.0
+	for _, count := range running {
+		sum += count
+		peak = max(peak, count)
 	}
-	require.LessOrEqual(t, most, 2*sum/float64(len(running)))
-	require.Less(t, most, float64(played.Instances*played.Slots))
+	require.LessOrEqual(t, peak, 2*sum/float64(len(running)))
+	require.Less(t, peak, float64(pattern.Instances*pattern.Slots))
 }
 
-// Without it, 0.87 of what is served without a start: times without load are not seen in a burst.
-func TestGoodputStaysWhenGatewaysGoOnWithWhatWasLearned(t *testing.T) {
+// Without the snapshot, goodput was 0.87 of that without a restart: a burst shows no durations
+// without load.
+func TestGoodputIsKeptWhenGatewaysRestoreASnapshot(t *testing.T) {
 	const restart = 16 * time.Second
-	served := func(trouble reportTrouble) int {
-		played := unfolding(t, 3)
-		played.Seconds = burstTo.Seconds()
-		played.Reports = trouble
-		return between(replayAll(played, newAdmitting), restart, burstTo)
+	served := func(faults reportFaults) int {
+		pattern := fanOutLoad(t, 3)
+		pattern.Seconds = burstTo.Seconds()
+		pattern.Reports = faults
+		return inTimeBetween(replayAll(pattern, newAdmissionPolicy), restart, burstTo)
 	}
-	kept := served(reportTrouble{RestartAllAtMS: float64(restart.Milliseconds()), Recall: true})
-	require.GreaterOrEqual(t, float64(kept), leastGoodput*float64(served(reportTrouble{})))
+	restored := served(reportFaults{RestartAllAtMS: float64(restart.Milliseconds()), Recall: true})
+	require.GreaterOrEqual(t, float64(restored), minGoodputRatio*float64(served(reportFaults{})))
 }
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -19,48 +19,47 @@
 )
 
 const (
-	// hop is the way between gateway and instance; reportEvery is how often gateways tell
-	// each other of their load.
-	hop         = time.Millisecond
-	reportEvery = 50 * time.Millisecond
-	// asksInARow is how many instances one look asks.
-	asksInARow = 3
+	// networkDelay is the one-way delay between gateway and instance; reportInterval is how often
+	// gateways exchange load reports.
+	networkDelay   = time.Millisecond
+	reportInterval = 50 * time.Millisecond
+	// maxSendsPerPoll is how many instances one poll tries.
+	maxSendsPerPoll = 3
 )
 
-// load is one recorded load pattern.
+// load is a recorded load pattern.
 type load struct {
 	Gateways, Instances, Slots, Queue int
 	Zones                             int
 	Seconds                           float64
-	// Contention is by how much longer a request takes that begins on an instance whose other
-	// slots are busy, as a share of its own time.
+	// Contention is the relative slowdown of a request that starts on an instance whose other slots
+	// are all busy.
 	Contention float64
-	// Reports says how those on programs arrive; see reportTrouble.
-	Reports reportTrouble
-	// Watch is called at the start; nil for none.
-	Watch    func(*replayed) `json:"-"`
+	// Reports describes the faults of program reports.
+	Reports reportFaults
+	// Watch is called at the start; may be nil.
+	Watch    func(*simulation) `json:"-"`
 	Kinds    map[string]kind
 	Arrivals []arrivals
 	Changes  []change
-	// About says which load this is, Expect what has to become of the callers by kind.
+	// About describes the load, Expect the required outcomes by kind.
 	About  string
 	Expect map[string]expectation
 }
 
-// expectation bounds what becomes of the callers of one kind: how many are served in time at
-// least; how many are late, refused or fail, how many sends fail, and for how long all those
-// that were refused were held, at most.
+// expectation bounds the outcomes of the callers of one kind: InTime is a minimum, all others are
+// maxima. HeldMS is the total time for which refused callers waited.
 type expectation struct {
 	InTime                                    int
 	Late, Refused, Failed, FailedAsks, HeldMS int
 }
 
-// kind is a kind of request: a program of some turns, or a single request.
+// kind is a kind of request: a program of several turns, or a single request.
 type kind struct {
-	// Calls says that these are single requests of programs that have begun.
+	// Calls marks single requests that count as later requests of programs.
 	Calls bool
 	Turns int
-	// Widths is how many requests each turn makes at once; 1 where it is left out.
+	// Widths is how many concurrent requests each turn consists of; 1 if unset.
 	Widths              []int
 	WorkMS, ObjectiveMS float64
 	DeadlineMS          float64
@@ -71,12 +70,12 @@
 type arrivals struct {
 	Kind               string
 	FromMS, ToMS, PerS float64
-	// Zone is the only zone, from 1 on, whose gateways get them; 0 means all.
+	// Zone restricts the arrivals to the gateways of one zone, counted from 1; 0 means all.
 	Zone int
 }
 
-// change puts instances [First, First+Count) into a state: up, down, failing (answers with a
-// failure at once) or losing (loses the answers of a share of what it ran).
+// change sets the state of instances [First, First+Count): up, down, failing (every request fails
+// at once) or losing (the given fraction of answers is lost).
 type change struct {
 	AtMS         float64
 	First, Count int
@@ -84,20 +83,20 @@
 	Share        float64
 }
 
-// outcome is what became of the callers of one kind.
+// outcome counts what happened to the callers of one kind.
 type outcome struct {
 	InTime, Late, RefusedFirst, RefusedAgain, Failed int
-	HeldInVain                                       time.Duration
-	Asks, FailedAsks                                 int
-	// TimesInTime is when programs ended in time, after the load began.
-	TimesInTime []time.Duration
+	WastedWait                                       time.Duration
+	Sends, FailedSends                               int
+	// CompletedAt holds the times from the start of the load at which programs completed in time.
+	CompletedAt []time.Duration
 }
 
-// waitPolicy decides about a request that was not taken, at one gateway.
+// waitPolicy decides about requests that no instance accepted, at one gateway.
 type waitPolicy interface {
-	refused(now time.Time, arrived time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration)
-	taken(now time.Time, id string)
-	left(id string)
+	decide(now time.Time, arrived time.Time, request overload.Request, capacity overload.Capacity) (pause, retryAfter time.Duration)
+	accepted(now time.Time, id string)
+	removed(id string)
 }
 
 type event struct {
@@ -120,18 +119,18 @@
 	return last
 }
 
-type replayed struct {
-	load     load
-	began    time.Time
-	random   *rand.Rand
-	now      time.Time
-	events   events
-	ordered  int
-	gateways []*gatewayModel
-	machines []*instanceModel
-	outcomes map[string]*outcome
-	next     int
-	programs int
+type simulation struct {
+	load      load
+	startedAt time.Time
+	random    *rand.Rand
+	now       time.Time
+	events    events
+	scheduled int
+	gateways  []*gatewayModel
+	instances []*instanceModel
+	outcomes  map[string]*outcome
+	requests  int
+	programs  int
 }
 
 type gatewayModel struct {
@@ -139,7 +138,7 @@
 	policy    waitPolicy
 }
 
-// call is one caller's request over all its attempts.
+// call is a caller's request over all its attempts.
 type call struct {
 	kind     string
 	program  string
@@ -151,7 +150,7 @@
 	work     time.Duration
 	attempts int
 	refusals int
-	// admission is what was last decided about the beginning of its program.
+	// admission is the last admission decision for its program.
 	admission admission.Decision
 	end       func(ok bool)
 }
@@ -159,40 +158,40 @@
 func readLoad(t *testing.T, name string) load {
 	data, err := os.ReadFile(filepath.Join("..", "..", "testdata", "load", name+".json"))
 	require.NoError(t, err)
-	var read load
-	require.NoError(t, json.Unmarshal(data, &read))
-	return read
+	var pattern load
+	require.NoError(t, json.Unmarshal(data, &pattern))
+	return pattern
 }
 
-// replay plays a load with a policy for each gateway and returns what became of the callers.
-func replay(played load, seed uint64, newPolicy func() waitPolicy) map[string]*outcome {
-	r := &replayed{load: played, random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1000, 0), outcomes: map[string]*outcome{}}
+// replay replays a load, with a policy for each gateway, and returns the outcomes.
+func replay(pattern load, seed uint64, newPolicy func() waitPolicy) map[string]*outcome {
+	r := &simulation{load: pattern, random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(1000, 0), outcomes: map[string]*outcome{}}
 	start := r.now
-	r.began = start
+	r.startedAt = start
 	var listed []backend.Instance
-	for i := range played.Instances {
+	for i := range pattern.Instances {
 		id := fmt.Sprintf("i%02d", i)
-		r.machines = append(r.machines, &instanceModel{id: id, state: "up"})
-		listed = append(listed, backend.Instance{ID: id, Service: "s", Zone: fmt.Sprint(i % played.Zones), Slots: played.Slots})
+		r.instances = append(r.instances, &instanceModel{id: id, state: "up"})
+		listed = append(listed, backend.Instance{ID: id, Service: "s", Zone: fmt.Sprint(i % pattern.Zones), Slots: pattern.Slots})
 	}
-	for i := range played.Gateways {
-		directory := backend.NewDirectory(fmt.Sprint(i % played.Zones))
+	for i := range pattern.Gateways {
+		directory := backend.NewDirectory(fmt.Sprint(i % pattern.Zones))
 		directory.SeedWith(fmt.Sprint("g", i))
 		directory.Change(start, backend.Changes{All: true, Listed: listed}, false)
 		r.gateways = append(r.gateways, &gatewayModel{directory: directory, policy: newPolicy()})
 	}
-	for _, changed := range played.Changes {
-		r.after(milliseconds(changed.AtMS), func() { r.apply(changed) })
+	for _, c := range pattern.Changes {
+		r.schedule(milliseconds(c.AtMS), func() { r.apply(c) })
 	}
-	for _, wave := range played.Arrivals {
-		gap := 1000 / wave.PerS
-		for at := wave.FromMS; at < wave.ToMS; at += gap * r.random.ExpFloat64() {
-			r.after(milliseconds(at), func() { r.arrive(wave.Kind, wave.Zone) })
+	for _, phase := range pattern.Arrivals {
+		gap := 1000 / phase.PerS
+		for at := phase.FromMS; at < phase.ToMS; at += gap * r.random.ExpFloat64() {
+			r.schedule(milliseconds(at), func() { r.arrive(phase.Kind, phase.Zone) })
 		}
 	}
-	r.after(reportEvery, r.report)
-	r.playPrograms(newPolicy)
-	end := start.Add(time.Duration(played.Seconds * float64(time.Second)))
+	r.schedule(reportInterval, r.report)
+	r.startProgramReports(newPolicy)
+	end := start.Add(time.Duration(pattern.Seconds * float64(time.Second)))
 	for len(r.events) > 0 && r.now.Before(end) {
 		next := heap.Pop(&r.events).(event)
 		r.now = next.at
@@ -205,12 +204,12 @@
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-func (r *replayed) after(wait time.Duration, run func()) {
-	r.ordered++
-	heap.Push(&r.events, event{at: r.now.Add(wait), order: r.ordered, run: run})
+func (r *simulation) schedule(wait time.Duration, run func()) {
+	r.scheduled++
+	heap.Push(&r.events, event{at: r.now.Add(wait), order: r.scheduled, run: run})
 }
 
-func (r *replayed) report() {
+func (r *simulation) report() {
 	for i, gateway := range r.gateways {
 		loads := gateway.directory.Loads(r.now)
 		for j, other := range r.gateways {
@@ -219,34 +218,34 @@
 			}
 		}
 	}
-	r.after(reportEvery, r.report)
+	r.schedule(reportInterval, r.report)
 }
 
-func (r *replayed) apply(changed change) {
-	for i := changed.First; i < changed.First+changed.Count; i++ {
-		machine := r.machines[i]
-		machine.state, machine.share = changed.State, changed.Share
-		if changed.State != "down" {
+func (r *simulation) apply(c change) {
+	for i := c.First; i < c.First+c.Count; i++ {
+		instance := r.instances[i]
+		instance.state, instance.share = c.State, c.Share
+		if c.State != "down" {
 			continue
 		}
-		for _, waiting := range machine.queued {
+		for _, waiting := range instance.queue {
 			waiting.done(backend.Unreachable, true)
 		}
-		machine.queued = nil
+		instance.queue = nil
 	}
 }
 
-func (r *replayed) of(kind string) *outcome {
-	known := r.outcomes[kind]
-	if known == nil {
-		known = &outcome{}
-		r.outcomes[kind] = known
+func (r *simulation) outcomeOf(kind string) *outcome {
+	result := r.outcomes[kind]
+	if result == nil {
+		result = &outcome{}
+		r.outcomes[kind] = result
 	}
-	return known
+	return result
 }
 
 // arrive starts a program or a single request.
-func (r *replayed) arrive(name string, zone int) {
+func (r *simulation) arrive(name string, zone int) {
 	spec := r.load.Kinds[name]
 	began := r.now
 	turns := max(1, spec.Turns)
@@ -256,26 +255,26 @@
 	turn = func(done int) {
 		if done == turns {
 			if r.now.Sub(began) <= milliseconds(spec.ObjectiveMS) {
-				r.of(name).InTime++
-				r.of(name).TimesInTime = append(r.of(name).TimesInTime, r.now.Sub(r.began))
+				r.outcomeOf(name).InTime++
+				r.outcomeOf(name).CompletedAt = append(r.outcomeOf(name).CompletedAt, r.now.Sub(r.startedAt))
 			} else {
-				r.of(name).Late++
+				r.outcomeOf(name).Late++
 			}
 			return
 		}
-		open, lost := spec.width(done), false
+		pending, lost := spec.width(done), false
 		end := func(c *call, ok bool) {
-			open--
+			pending--
 			switch {
-			case ok && open == 0 && !lost:
+			case ok && pending == 0 && !lost:
 				turn(done + 1)
 			case ok || lost:
 			case c.refusals == 0:
-				r.of(name).Failed++
+				r.outcomeOf(name).Failed++
 			case c.refusals == 1:
-				r.of(name).RefusedFirst++
+				r.outcomeOf(name).RefusedFirst++
 			default:
-				r.of(name).RefusedAgain++
+				r.outcomeOf(name).RefusedAgain++
 			}
 			lost = lost || !ok
 		}
@@ -290,36 +289,36 @@
 	turn(0)
 }
 
-// attempt is one try of a caller at a gateway of its choice.
-func (r *replayed) attempt(c *call) {
+// attempt sends the request to a random gateway.
+func (r *simulation) attempt(c *call) {
 	c.attempts++
-	r.next++
-	id := fmt.Sprint("r", r.next)
+	r.requests++
+	id := fmt.Sprint("r", r.requests)
 	number := r.random.IntN(len(r.gateways))
 	if c.zone > 0 {
 		number -= number%r.load.Zones - (c.zone - 1)
 	}
 	gateway := r.gateways[number]
-	r.look(c, gateway, id, r.now)
+	r.poll(c, gateway, id, r.now)
 }
 
-// look asks instances until one takes the request or enough have refused it.
-func (r *replayed) look(c *call, gateway *gatewayModel, id string, arrived time.Time) {
+// poll sends the request to instances in sequence until one accepts it or the limit is reached.
+func (r *simulation) poll(c *call, gateway *gatewayModel, id string, arrived time.Time) {
 	if !r.admitted(c, gateway, id) {
 		r.wait(c, gateway, id, arrived)
 		return
 	}
 	demand := backend.Demand{Service: "s"}
 	var next func(asked int)
-	next = func(asked int) {
+	next = func(sent int) {
 		if !r.now.Before(c.deadline) {
-			gateway.policy.left(id)
-			r.of(c.kind).HeldInVain += r.now.Sub(arrived)
+			gateway.policy.removed(id)
+			r.outcomeOf(c.kind).WastedWait += r.now.Sub(arrived)
 			c.end(false)
 			return
 		}
 		choice, found := gateway.directory.Pick(r.now, demand)
-		if asked >= asksInARow || !found {
+		if sent >= maxSendsPerPoll || !found {
 			if found {
 				gateway.directory.End(r.now, choice, backend.Full)
 			}
@@ -337,56 +336,56 @@
 				gateway.directory.Observe(r.now, choice, backend.Observation{
 					Kind: c.kind, Took: r.now.Sub(choice.PickedAt), First: r.now.Sub(choice.PickedAt), Events: 1,
 				})
-				gateway.policy.taken(r.now, id)
-				gateway.turnEnded(r.now, c, choice)
+				gateway.policy.accepted(r.now, id)
+				gateway.turnCompleted(r.now, c, choice)
 				c.end(true)
 			case ran:
-				gateway.policy.left(id)
-				r.comeBack(c, 100*time.Millisecond)
+				gateway.policy.removed(id)
+				r.retry(c, 100*time.Millisecond)
 			default:
 				demand.Exclude = append(demand.Exclude, choice.Instance.ID)
-				next(asked + 1)
+				next(sent + 1)
 			}
 		})
 	}
 	next(0)
 }
 
-func (r *replayed) admitted(c *call, gateway *gatewayModel, id string) bool {
-	policy, decides := gateway.policy.(*decided)
-	request, capacity := r.asked(c, gateway, id)
-	return !decides || policy.queue.Admits(request, capacity) && r.mayBegin(c, policy, id, capacity)
+func (r *simulation) admitted(c *call, gateway *gatewayModel, id string) bool {
+	policy, isQueuePolicy := gateway.policy.(*queuePolicy)
+	request, capacity := r.overloadInputs(c, gateway, id)
+	return !isQueuePolicy || policy.queue.Admits(request, capacity) && r.mayStart(c, policy, id, capacity)
 }
 
-func (r *replayed) asked(c *call, gateway *gatewayModel, id string) (overload.Request, overload.Capacity) {
-	believed := gateway.directory.Capacity(r.now, "s")
+func (r *simulation) overloadInputs(c *call, gateway *gatewayModel, id string) (overload.Request, overload.Capacity) {
+	capacity := gateway.directory.Capacity(r.now, "s")
 	return overload.Request{
 		ID: id, FirstOfProgram: c.first, LaterOfProgram: c.spec.Calls || c.spec.Turns > 0 && !c.first, RouteRank: c.spec.Rank, TenantRank: c.spec.TenantRank, Deadline: c.deadline,
 		StartBy: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), LatencyObjective: milliseconds(2.5 * c.spec.WorkMS),
-	}, overload.Capacity{Slots: believed.Slots, Busy: believed.Busy, Usual: believed.Usual, RecentFirst: believed.RecentFirst}
+	}, overload.Capacity{Slots: capacity.Slots, Busy: capacity.Busy, Usual: capacity.Usual, RecentFirst: capacity.RecentFirst}
 }
 
-func (r *replayed) wait(c *call, gateway *gatewayModel, id string, arrived time.Time) {
-	request, capacity := r.asked(c, gateway, id)
+func (r *simulation) wait(c *call, gateway *gatewayModel, id string, arrived time.Time) {
+	request, capacity := r.overloadInputs(c, gateway, id)
 	pause, retryAfter, held := c.held()
 	if !held {
-		pause, retryAfter = gateway.policy.refused(r.now, arrived, request, capacity)
+		pause, retryAfter = gateway.policy.decide(r.now, arrived, request, capacity)
 	}
 	if pause > 0 {
-		r.after(pause, func() { r.look(c, gateway, id, arrived) })
+		r.schedule(pause, func() { r.poll(c, gateway, id, arrived) })
 		return
 	}
-	r.of(c.kind).HeldInVain += r.now.Sub(arrived)
+	r.outcomeOf(c.kind).WastedWait += r.now.Sub(arrived)
 	c.refusals++
-	r.comeBack(c, retryAfter)
+	r.retry(c, retryAfter)
 }
 
-// comeBack tries once more if the caller has tries and time left.
-func (r *replayed) comeBack(c *call, after time.Duration) {
-	after = min(after, c.deadline.Sub(r.now)/3)
-	if c.attempts > c.spec.Retries || after <= 0 {
+// retry makes another attempt if the caller has attempts and time left.
+func (r *simulation) retry(c *call, delay time.Duration) {
+	delay = min(delay, c.deadline.Sub(r.now)/3)
+	if c.attempts > c.spec.Retries || delay <= 0 {
 		c.end(false)
 		return
 	}
-	r.after(after, func() { r.attempt(c) })
+	r.schedule(delay, func() { r.attempt(c) })
 }
