--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -8,40 +8,39 @@
 )
 
 const (
-	// demandSpan is over which time a gateway averages how many requests of a tenant come.
-	demandSpan = 2 * time.Second
-	// restLimit is how long a tenant is remembered that sends nothing.
-	restLimit = 30 * time.Second
-	// unansweredPause is how long a lender that did not answer is asked last: long beside
-	// the wait for an answer, short beside the time in which a machine is replaced.
-	unansweredPause = time.Second
+	// demandTime is the time constant of the average demand of a tenant.
+	demandTime = 2 * time.Second
+	// idleTimeout is how long a tenant without requests is kept.
+	idleTimeout = 30 * time.Second
+	// unansweredPenalty is how long a lender that did not answer is tried last: long compared to
+	// the timeout for an answer, short compared to the time in which a machine is replaced.
+	unansweredPenalty = time.Second
 )
 
-// Borrower keeps a gateway's allowances. It is a pure state machine and not safe for
-// concurrent use.
+// Borrower holds the allowances of a gateway. It does no I/O and is not safe for concurrent use.
 type Borrower struct {
-	tenants map[string]*holdings
-	// tidied is when tenants that rest were last dropped.
-	tidied time.Time
-	// unansweredUntil is until when a lender that did not answer is asked last.
+	tenants map[string]*tenantState
+	// cleanedAt is when idle tenants were last dropped.
+	cleanedAt time.Time
+	// unansweredUntil is the time until which a lender that did not answer is tried last.
 	unansweredUntil map[string]time.Time
 }
 
-// holdings are a tenant's allowances at this gateway.
-type holdings struct {
-	held []allowance
-	// emptyUntil is when a lender that had nothing left has an allowance again.
-	emptyUntil map[string]time.Time
-	// demand counts the requests of late, which lose their weight over demandSpan.
+// tenantState holds the allowances and the demand of one tenant at this gateway.
+type tenantState struct {
+	allowances []allowance
+	// exhaustedUntil is the time at which a lender without credit has credit again.
+	exhaustedUntil map[string]time.Time
+	// demand is a count of requests that decays with the time constant demandTime, as of demandAt.
 	demand   float64
 	demandAt time.Time
-	// home is the tenant's home lender, untold what it does not know of. That is below zero for
-	// requests that it lent to and that have not gone on yet.
-	home   string
-	untold Usage
+	// homeLender is the home lender of the tenant, unreported the usage that it does not know of.
+	// Counts are negative for requests that it lent allowances to and that have not proceeded yet.
+	homeLender string
+	unreported Usage
 }
 
-// allowance is a number of requests that may go on.
+// allowance is a number of requests that may proceed until it expires.
 type allowance struct {
 	count   int
 	expires time.Time
@@ -49,137 +48,137 @@
 
 // NewBorrower returns a borrower without allowances.
 func NewBorrower() *Borrower {
-	return &Borrower{tenants: map[string]*holdings{}, unansweredUntil: map[string]time.Time{}}
+	return &Borrower{tenants: map[string]*tenantState{}, unansweredUntil: map[string]time.Time{}}
 }
 
-func (b *Borrower) of(now time.Time, tenant string) *holdings {
-	b.tidy(now)
-	known := b.tenants[tenant]
-	if known == nil {
-		known = &holdings{emptyUntil: map[string]time.Time{}, demandAt: now}
-		b.tenants[tenant] = known
+func (b *Borrower) state(now time.Time, tenant string) *tenantState {
+	b.cleanup(now)
+	state := b.tenants[tenant]
+	if state == nil {
+		state = &tenantState{exhaustedUntil: map[string]time.Time{}, demandAt: now}
+		b.tenants[tenant] = state
 	}
-	return known
+	return state
 }
 
-// tidy drops tenants that send nothing.
-func (b *Borrower) tidy(now time.Time) {
-	if now.Sub(b.tidied) < restLimit {
+// cleanup drops idle tenants and expired penalties.
+func (b *Borrower) cleanup(now time.Time) {
+	if now.Sub(b.cleanedAt) < idleTimeout {
 		return
 	}
-	b.tidied = now
+	b.cleanedAt = now
 	maps.DeleteFunc(b.unansweredUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
-	for name, known := range b.tenants {
-		if now.Sub(known.demandAt) >= restLimit {
+	for name, state := range b.tenants {
+		if now.Sub(state.demandAt) >= idleTimeout {
 			delete(b.tenants, name)
 		}
 	}
 }
 
-// Arrived counts a request of the tenant.
+// Arrived records a request of the tenant.
 func (b *Borrower) Arrived(now time.Time, tenant string) {
-	known := b.of(now, tenant)
-	known.demand = known.present(now) + 1
-	known.demandAt = now
+	state := b.state(now, tenant)
+	state.demand = state.currentDemand(now) + 1
+	state.demandAt = now
 }
 
-// present returns the count of requests of late.
-func (h *holdings) present(now time.Time) float64 {
-	return h.demand * math.Exp(-now.Sub(h.demandAt).Seconds()/demandSpan.Seconds())
+// currentDemand returns the demand decayed to now.
+func (s *tenantState) currentDemand(now time.Time) float64 {
+	return s.demand * math.Exp(-now.Sub(s.demandAt).Seconds()/demandTime.Seconds())
 }
 
-// Consume uses an allowance of the tenant, and reports false if there is none.
+// Consume uses one allowance of the tenant. It returns false if there is none.
 func (b *Borrower) Consume(now time.Time, tenant string) bool {
-	known := b.of(now, tenant)
-	known.expire(now)
-	if len(known.held) == 0 {
+	state := b.state(now, tenant)
+	state.expire(now)
+	if len(state.allowances) == 0 {
 		return false
 	}
-	first := &known.held[0]
+	first := &state.allowances[0]
 	first.count--
 	if first.count == 0 {
-		known.held = known.held[1:]
+		state.allowances = state.allowances[1:]
 	}
 	return true
 }
 
-// expire drops what is no longer good. The holder may not use it even if nobody else does:
-// its lender counts on that.
-func (h *holdings) expire(now time.Time) {
-	h.held = slices.DeleteFunc(h.held, func(held allowance) bool { return !now.Before(held.expires) })
+// expire drops expired allowances. A gateway must not use them even if no other gateway does: the
+// lender relies on it.
+func (s *tenantState) expire(now time.Time) {
+	s.allowances = slices.DeleteFunc(s.allowances, func(a allowance) bool { return !now.Before(a.expires) })
 }
 
-// NextStep is what a request without an allowance does.
+// NextStep is the next step for a request without an allowance.
 type NextStep struct {
-	// Lender is to be asked for Asked; "" if nobody is.
+	// Lender is the lender to send Request to; "" if no lender should be asked.
 	Lender  string
 	Request Borrow
-	// Exhausted is how many lenders said that they have no allowance, Wait when the first of
-	// these has one again.
+	// Exhausted is how many lenders have no credit, Wait the time until the first of them has
+	// credit again.
 	Exhausted int
 	Wait      time.Duration
 }
 
-// Next returns the first of the lenders that may have an allowance, and what to ask it for
-// on behalf of one request. A lender that did not answer of late comes last, and is passed
-// over where most lenders have said that they have none.
+// Next returns the first lender that may have credit, and the request to send to it on behalf of
+// one waiting request. A lender that recently did not answer is tried last, and is skipped if most
+// lenders have no credit.
 func (b *Borrower) Next(now time.Time, tenant string, lenders []string) NextStep {
-	known := b.of(now, tenant)
-	ask := func(name string) NextStep {
-		return NextStep{Lender: name, Request: Borrow{Tenant: tenant, Waiting: 1, Ahead: known.expected(now)}}
+	state := b.state(now, tenant)
+	borrowFrom := func(name string) NextStep {
+		return NextStep{Lender: name, Request: Borrow{Tenant: tenant, Waiting: 1, Ahead: state.expectedRequests(now)}}
 	}
 	var step NextStep
-	unanswered := ""
+	fallback := ""
 	for _, name := range lenders {
-		empty := known.emptyUntil[name].Sub(now)
+		exhaustedFor := state.exhaustedUntil[name].Sub(now)
 		switch {
 		case now.Before(b.unansweredUntil[name]):
-			unanswered = name
+			fallback = name
 			continue
-		case empty <= 0:
-			return ask(name)
-		case step.Exhausted == 0 || empty < step.Wait:
-			step.Wait = empty
+		case exhaustedFor <= 0:
+			return borrowFrom(name)
+		case step.Exhausted == 0 || exhaustedFor < step.Wait:
+			step.Wait = exhaustedFor
 		}
 		step.Exhausted++
 	}
-	if unanswered != "" && 2*step.Exhausted <= len(lenders) {
-		return ask(unanswered)
+	if fallback != "" && 2*step.Exhausted <= len(lenders) {
+		return borrowFrom(fallback)
 	}
 	return step
 }
 
-// TimedOut notes that a lender did not answer in time: each request beyond the others'
-// credit would wait for it again.
+// TimedOut records that a lender did not answer in time. Otherwise each request beyond the credit
+// of the other lenders would wait for it again.
 func (b *Borrower) TimedOut(now time.Time, lender string) {
-	b.unansweredUntil[lender] = now.Add(unansweredPause)
+	b.unansweredUntil[lender] = now.Add(unansweredPenalty)
 }
 
-// expected returns how many requests will come while an allowance lent ahead is good,
-// besides the one that asks.
-func (h *holdings) expected(now time.Time) int {
-	return max(0, int(h.present(now)*aheadLife.Seconds()/demandSpan.Seconds())-1)
+// expectedRequests returns how many requests besides the current one are expected within the life
+// of an allowance lent in advance.
+func (s *tenantState) expectedRequests(now time.Time) int {
+	return max(0, int(s.currentDemand(now)*aheadLife.Seconds()/demandTime.Seconds())-1)
 }
 
-// Lent adds a loan. sentAt is when it was asked for: its life counts from then on, for it may
-// have been lent at that moment.
-func (b *Borrower) Lent(now, sentAt time.Time, lender string, asked Borrow, lent Loan) {
-	known := b.of(now, asked.Tenant)
-	// It answers again: while it is taken for silent, what it says of its credit does not count,
-	// and requests beyond the limit would ask it again and again.
+// Lent adds a loan. sentAt is when the request was sent: the life of the loan is counted from then,
+// because it may have been lent at that moment.
+func (b *Borrower) Lent(now, sentAt time.Time, lender string, request Borrow, loan Loan) {
+	state := b.state(now, request.Tenant)
+	// The lender answers again. While it counts as not answering, its exhaustion is ignored and
+	// requests beyond the limit would ask it repeatedly.
 	delete(b.unansweredUntil, lender)
-	if lent.Wait > 0 && !lent.Held {
-		known.emptyUntil[lender] = now.Add(lent.Wait)
+	if loan.Wait > 0 && !loan.Held {
+		state.exhaustedUntil[lender] = now.Add(loan.Wait)
 	}
-	if lender == known.home {
-		known.untold.add(asked.Part, -lent.Waiting)
+	if lender == state.homeLender {
+		state.unreported.add(request.Part, -loan.Waiting)
 	} else {
-		known.untold.Lent += lent.Waiting + lent.Ahead
+		state.unreported.Lent += loan.Waiting + loan.Ahead
 	}
-	if lent.Waiting > 0 {
-		known.held = append(known.held, allowance{count: lent.Waiting, expires: sentAt.Add(lent.Life)})
+	if loan.Waiting > 0 {
+		state.allowances = append(state.allowances, allowance{count: loan.Waiting, expires: sentAt.Add(loan.Life)})
 	}
-	if lent.Ahead > 0 {
-		known.held = append(known.held, allowance{count: lent.Ahead, expires: sentAt.Add(lent.AheadLife)})
+	if loan.Ahead > 0 {
+		state.allowances = append(state.allowances, allowance{count: loan.Ahead, expires: sentAt.Add(loan.AheadLife)})
 	}
 }
--- a/internal/quota/history.go
+++ b/internal/quota/history.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// Lending is a record of allowances that were lent, for a disk.
+// Lending is a log record of allowances that were lent.
 type Lending struct {
 	Tenant     string
 	Allowances int
-	// Life is the life of the process that lent them, Uptime the time since it began: clocks
-	// of machines jump.
+	// Life identifies the process that lent them, Uptime is the time since that process started.
+	// Wall clock times are not used because clocks can jump.
 	Life   string
 	Uptime time.Duration
 }
 
-// History finds in the records of a disk what was lent lately. All that may have been lent
-// within the span before the last record counts.
+// History reconstructs from log records what was lent recently. Everything that may have been lent
+// within the retention before the last record counts.
 type History struct {
-	span  time.Duration
-	lives []life
+	retention time.Duration
+	runs      []processRun
 }
 
-// life is what one life of the process lent within the span before its last record.
-type life struct {
+// processRun holds what one process lent within the retention before its last record.
+type processRun struct {
 	name     string
 	lendings []Lending
 }
 
-// NewHistory returns a history for lenders under the policy.
-func NewHistory(policy Policy) *History { return &History{span: policy.Window + aheadLife} }
+// NewHistory returns a history for lenders with the given policy.
+func NewHistory(policy Policy) *History { return &History{retention: policy.Window + aheadLife} }
 
-// Add adds the next record of the disk.
+// Add adds the next log record.
 func (h *History) Add(lending Lending) {
-	if len(h.lives) == 0 || h.lives[len(h.lives)-1].name != lending.Life {
-		h.lives = append(h.lives, life{name: lending.Life})
+	if len(h.runs) == 0 || h.runs[len(h.runs)-1].name != lending.Life {
+		h.runs = append(h.runs, processRun{name: lending.Life})
 	}
-	newest := &h.lives[len(h.lives)-1]
-	newest.lendings = append(newest.lendings, lending)
-	for lending.Uptime-newest.lendings[0].Uptime > h.span {
-		newest.lendings = newest.lendings[1:]
+	current := &h.runs[len(h.runs)-1]
+	current.lendings = append(current.lendings, lending)
+	for lending.Uptime-current.lendings[0].Uptime > h.retention {
+		current.lendings = current.lendings[1:]
 	}
-	if lending.Uptime > h.span { // nothing of earlier lives is that recent
-		h.lives = h.lives[len(h.lives)-1:]
+	if lending.Uptime > h.retention { // earlier processes lent nothing that recently
+		h.runs = h.runs[len(h.runs)-1:]
 	}
 }
 
-// Recent returns what counts, by tenant.
+// Recent returns the allowances that count, by tenant.
 func (h *History) Recent() map[string]int {
-	recent := map[string]int{}
-	for _, known := range h.lives {
-		for _, lending := range known.lendings {
-			recent[lending.Tenant] += lending.Allowances
+	totals := map[string]int{}
+	for _, run := range h.runs {
+		for _, record := range run.lendings {
+			totals[record.Tenant] += record.Allowances
 		}
 	}
-	return recent
+	return totals
 }
--- a/internal/quota/history_test.go
+++ b/internal/quota/history_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHistoryKeepsWhatWasLentLately(t *testing.T) {
+func TestHistoryKeepsRecentLendings(t *testing.T) {
 	h := NewHistory(policy)
 	require.Empty(t, h.Recent())
 	h.Add(Lending{Tenant: "a", Allowances: 1, Life: "1", Uptime: 1 * second})
@@ -17,13 +17,13 @@
 	require.Equal(t, map[string]int{"a": 8, "b": 4}, h.Recent())
 }
 
-// Processes that are killed again and again must not forget what their earlier lives lent.
-func TestHistoryReachesBackOverShortLives(t *testing.T) {
+// Processes that crash repeatedly must not forget what earlier processes lent.
+func TestHistorySpansShortProcessLives(t *testing.T) {
 	h := NewHistory(policy)
 	h.Add(Lending{Tenant: "a", Allowances: 1, Life: "1", Uptime: 100 * second})
 	h.Add(Lending{Tenant: "a", Allowances: 2, Life: "2", Uptime: second})
 	h.Add(Lending{Tenant: "a", Allowances: 4, Life: "3", Uptime: second})
 	require.Equal(t, map[string]int{"a": 7}, h.Recent())
 	h.Add(Lending{Tenant: "a", Allowances: 8, Life: "3", Uptime: 6*second + 1})
-	require.Equal(t, map[string]int{"a": 12}, h.Recent(), "the third life alone is longer than the span")
+	require.Equal(t, map[string]int{"a": 12}, h.Recent(), "the third process ran longer than the retention")
 }
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -7,82 +7,84 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// Lender lends one voter's share of the limits of its cell's tenants. It counts what it lent
-// in a sliding window, until nothing of it can have been used within the window any more. It
-// is a pure state machine and not safe for concurrent use.
+// Lender lends one voter's share of the limits of its cell's tenants. It counts what it lent in a
+// sliding window until none of it can have been used within the window any more. It does no I/O and
+// is not safe for concurrent use.
 type Lender struct {
 	policy  Policy
 	tenants *tenant.Index
-	counts  map[string]*count
-	// programs are the accounts of the tenants whose home lender this is, learned what the
-	// programs of all of them taught.
-	programs map[string]*account
-	learned  ratio
-	// adopted is this voter's share of each limit by the newest set of voters. Until raiseAt
-	// it lends no more than by any of its shares earlier.
-	adopted share
-	earlier []share
-	raiseAt time.Time
-	// votesSince is when this became a voter; remembers says that all that it lent as one
-	// is counted here.
-	votesSince time.Time
-	remembers  bool
-}
-
-// count is what was lent of a tenant's limit.
-type count struct {
-	lent []lending
-	// unsynced is how much of it would be forgotten in a loss of power now.
+	counts  map[string]*windowCount
+	// accounts holds the accounts of the tenants whose home lender this is. allPrograms is learned
+	// from the programs of all of them.
+	accounts    map[string]*account
+	allPrograms ratio
+	// share is this voter's share of each limit under the newest set of voters. Until raiseAt,
+	// lending is also limited by all previousShares.
+	share          share
+	previousShares []share
+	raiseAt        time.Time
+	// voterSince is when this process became a voter. historyComplete is set if everything it lent
+	// as a voter is counted here.
+	voterSince      time.Time
+	historyComplete bool
+}
+
+// windowCount counts the allowances of one tenant that are within the window.
+type windowCount struct {
+	entries []windowEntry
+	// unsynced is how many of them a power failure would lose now.
 	unsynced int
 }
 
-// lending is a number of allowances that count until a time. first is the end of the first of
-// them by itself.
-type lending struct {
-	count        int
-	first, until time.Time
+// windowEntry is a number of allowances that count until expiry. firstExpiry is the expiry of the
+// first of them.
+type windowEntry struct {
+	count               int
+	firstExpiry, expiry time.Time
 }
 
 const (
-	// countStep is how exactly the end of a count is kept: lendings whose ends lie within one
-	// step of the first one's count until the last one's end, which bounds their number.
+	// countStep is the resolution of expiries: allowances that expire within one step of the first
+	// one of an entry are merged into it and count until the last one's expiry. This bounds the
+	// number of entries.
 	countStep = 100 * time.Millisecond
-	// aheadShare is the part of the credit that may be lent ahead at once: what one gateway
-	// does not use, others miss until it counts no more. Returning it was weighed: a message
-	// that comes twice would return it twice.
-	aheadShare = 8
-	// unsyncedShare is the part of the slack that may be forgotten in a loss of power.
-	unsyncedShare = 4
+	// aheadDivisor limits what is lent in advance at once to this part of the credit: what one
+	// gateway does not use is unavailable to others until it expires. Allowances are not returned,
+	// because a duplicated message would return them twice.
+	aheadDivisor = 8
+	// unsyncedDivisor limits what a power failure may lose to this part of the slack.
+	unsyncedDivisor = 4
 )
 
 // NewLender returns a lender without a share.
 func NewLender(policy Policy) *Lender {
-	return &Lender{policy: policy, counts: map[string]*count{}, programs: map[string]*account{}}
+	return &Lender{policy: policy, counts: map[string]*windowCount{}, accounts: map[string]*account{}}
 }
 
-// SetTenants replaces the tenants and their limits. nil knows of none.
+// SetTenants replaces the tenants and their limits; nil means that none are known.
 func (l *Lender) SetTenants(tenants *tenant.Index) { l.tenants = tenants }
 
-// Resume makes a voter that was restarted go on with what its disk says that it lent. All of
-// that may have been lent just now and not be used yet.
+// Resume restores a restarted voter from the lendings in its log. All of them may have been lent
+// just before the restart and not be used yet.
 func (l *Lender) Resume(now time.Time, index, voters int, lent map[string]int) {
 	l.SetVoters(now, index, voters)
-	l.remembers = true
-	// The set may have lost a voter a moment before: a larger share holds a window later.
-	l.earlier, l.raiseAt = []share{{index: index, voters: voters + 1}}, now.Add(l.policy.Window)
+	l.historyComplete = true
+	// The set may have lost a voter just before the restart: a larger share takes effect after a
+	// window.
+	l.previousShares, l.raiseAt = []share{{index: index, voters: voters + 1}}, now.Add(l.policy.Window)
 	for name, allowances := range lent {
 		l.countOf(name).add(allowances, now.Add(aheadLife+l.policy.Window))
 	}
 }
 
-// share is one voter's part of each limit: the one at index of so many voters. The zero value
+// share is one voter's part of each limit, given its index and the number of voters. The zero value
 // is no part.
 type share struct{ index, voters int }
 
-// of returns how many of so many requests are this voter's. All voters together have exactly
-// as many, and none differs from another one by more than one: rounding each part down would
-// leave half a request a voter unlent, a twelfth of a small limit with ten voters.
-func (s share) of(requests float64) int {
+// portion returns this voter's portion of a number of requests. The portions of all voters add up
+// to the whole and differ by at most one. Rounding each portion down would leave half a request per
+// voter unlent, a twelfth of a small limit with ten voters.
+func (s share) portion(requests float64) int {
 	if s.voters == 0 {
 		return 0
 	}
@@ -90,155 +92,156 @@
 	return total*(s.index+1)/s.voters - total*s.index/s.voters
 }
 
-// SetVoters says which of the cell's voters this is, in an order that all of them know; a
-// negative index is none of them. A smaller share holds at once, a larger one a window later:
-// by then the voters that were left out have heard of it or are gone.
+// SetVoters sets the index of this voter, in an order common to all voters, and the number of
+// voters in the cell; a negative index means that it is not a voter. A smaller share takes effect
+// at once, a larger one after a window: by then, voters that were removed have learned of it or
+// have failed.
 func (l *Lender) SetVoters(now time.Time, index, voters int) {
-	adopted := share{}
+	updated := share{}
 	if index >= 0 {
-		adopted = share{index: index, voters: voters}
+		updated = share{index: index, voters: voters}
 	}
-	if adopted == l.adopted {
+	if updated == l.share {
 		return
 	}
-	if l.adopted == (share{}) {
-		l.votesSince, l.remembers = now, false
+	if l.share == (share{}) {
+		l.voterSince, l.historyComplete = now, false
 	} else {
-		l.settleShare(now)
-		l.earlier, l.raiseAt = append(l.earlier, l.adopted), now.Add(l.policy.Window)
+		l.dropPreviousShares(now)
+		l.previousShares, l.raiseAt = append(l.previousShares, l.share), now.Add(l.policy.Window)
 	}
-	l.adopted = adopted
+	l.share = updated
 }
 
-// settleShare lets the adopted share hold alone once its time has come.
-func (l *Lender) settleShare(now time.Time) {
+// dropPreviousShares lifts the bound of previous shares once raiseAt has passed.
+func (l *Lender) dropPreviousShares(now time.Time) {
 	if !now.Before(l.raiseAt) {
-		l.earlier = nil
+		l.previousShares = nil
 	}
 }
 
-// Lend answers a gateway. sync says that the answer must wait until the lending is on the
-// disk.
-func (l *Lender) Lend(now time.Time, asked Borrow) (lent Loan, sync bool) {
-	listed := l.tenants.Named(asked.Tenant)
-	l.settleShare(now)
+// Lend answers the request of a gateway. sync is set if the answer must wait until the lending is
+// on disk.
+func (l *Lender) Lend(now time.Time, request Borrow) (loan Loan, sync bool) {
+	listed := l.tenants.Named(request.Tenant)
+	l.dropPreviousShares(now)
 	switch {
-	case listed == nil || l.adopted.voters == 0:
+	case listed == nil || l.share.voters == 0:
 		return Loan{Unable: true}, false
 	case !listed.Limit.Limited():
 		return Loan{Unlimited: true}, false
 	}
-	if held, isHeld := l.holdBack(now, asked, listed.Limit); isHeld {
+	if held, isHeld := l.holdNewProgram(now, request, listed.Limit); isHeld {
 		return held, false
 	}
-	known := l.countOf(asked.Tenant)
-	credit := l.credit(now, listed.Limit, known)
-	lent = Loan{Life: l.policy.life(), AheadLife: aheadLife}
-	lent.Waiting = max(0, min(asked.Waiting, credit))
-	if l.mayLendAhead(asked, listed.Limit, credit) {
-		lent.Ahead = max(0, min(asked.Ahead, (credit-lent.Waiting)/aheadShare))
+	count := l.countOf(request.Tenant)
+	credit := l.credit(now, listed.Limit, count)
+	loan = Loan{Life: l.policy.life(), AheadLife: aheadLife}
+	loan.Waiting = max(0, min(request.Waiting, credit))
+	if l.mayLendAhead(request, listed.Limit, credit) {
+		loan.Ahead = max(0, min(request.Ahead, (credit-loan.Waiting)/aheadDivisor))
 	}
-	known.add(lent.Waiting, now.Add(lent.Life+l.policy.Window))
-	known.add(lent.Ahead, now.Add(lent.AheadLife+l.policy.Window))
-	l.noteLent(now, asked, lent)
-	if lent.Waiting == 0 {
-		lent.Wait = l.nextCredit(now, known)
+	count.add(loan.Waiting, now.Add(loan.Life+l.policy.Window))
+	count.add(loan.Ahead, now.Add(loan.AheadLife+l.policy.Window))
+	l.recordLoan(now, request, loan)
+	if loan.Waiting == 0 {
+		loan.Wait = l.nextCredit(now, count)
 	}
-	most := l.policy.Slack / unsyncedShare / float64(l.adopted.voters)
-	return lent, lent.Waiting+lent.Ahead > 0 && float64(known.unsynced) > most
+	maxUnsynced := l.policy.Slack / unsyncedDivisor / float64(l.share.voters)
+	return loan, loan.Waiting+loan.Ahead > 0 && float64(count.unsynced) > maxUnsynced
 }
 
-// Synced says that so many allowances lent of a tenant's limit are on the disk.
+// Synced records that the given number of allowances lent to a tenant is on disk.
 func (l *Lender) Synced(name string, allowances int) {
-	if known := l.counts[name]; known != nil {
-		known.unsynced = max(0, known.unsynced-allowances)
+	if count := l.counts[name]; count != nil {
+		count.unsynced = max(0, count.unsynced-allowances)
 	}
 }
 
-// Outstanding returns what counts at present, for a log that is written anew.
+// Outstanding returns the allowances that count now, by tenant, for a compacted log.
 func (l *Lender) Outstanding(now time.Time) map[string]int {
-	counted := map[string]int{}
-	for name, known := range l.counts {
-		if sum := known.sum(now); sum > 0 {
-			counted[name] = sum
-		} else if known.unsynced == 0 {
+	outstanding := map[string]int{}
+	for name, count := range l.counts {
+		if sum := count.sum(now); sum > 0 {
+			outstanding[name] = sum
+		} else if count.unsynced == 0 {
 			delete(l.counts, name)
 		}
 	}
-	return counted
+	return outstanding
 }
 
-func (l *Lender) countOf(name string) *count {
-	known := l.counts[name]
-	if known == nil {
-		known = &count{}
-		l.counts[name] = known
+func (l *Lender) countOf(name string) *windowCount {
+	count := l.counts[name]
+	if count == nil {
+		count = &windowCount{}
+		l.counts[name] = count
 	}
-	return known
+	return count
 }
 
-// most is what may count at once of a limit here: this voter's share of what is lendable.
-func (l *Lender) most(limit tenant.Limit) int {
-	requests := l.policy.lendable(limit)
-	most := l.adopted.of(requests)
-	for _, earlier := range l.earlier {
-		most = min(most, earlier.of(requests))
+// maxOutstanding returns how many allowances of a limit may count at once at this voter.
+func (l *Lender) maxOutstanding(limit tenant.Limit) int {
+	lendable := l.policy.lendable(limit)
+	maximum := l.share.portion(lendable)
+	for _, previous := range l.previousShares {
+		maximum = min(maximum, previous.portion(lendable))
 	}
-	return most
+	return maximum
 }
 
 // credit returns how many allowances may be lent now.
-func (l *Lender) credit(now time.Time, limit tenant.Limit, known *count) int {
-	most := l.most(limit) * int(l.remembered(now)) / int(l.policy.Window)
-	return most - known.sum(now)
+func (l *Lender) credit(now time.Time, limit tenant.Limit, count *windowCount) int {
+	maximum := l.maxOutstanding(limit) * int(l.knownHistory(now)) / int(l.policy.Window)
+	return maximum - count.sum(now)
 }
 
-// remembered returns the part of a window of which all lendings are known here: earlier voters,
-// or an earlier disk of this one, may have lent all that was allowed before.
-func (l *Lender) remembered(now time.Time) time.Duration {
-	if l.remembers {
+// knownHistory returns the part of the last window of which all lendings are known here. Earlier
+// voters, or an earlier disk of this one, may have lent everything allowed before.
+func (l *Lender) knownHistory(now time.Time) time.Duration {
+	if l.historyComplete {
 		return l.policy.Window
 	}
-	return max(0, min(l.policy.Window, now.Sub(l.votesSince)))
+	return max(0, min(l.policy.Window, now.Sub(l.voterSince)))
 }
 
-// nextCredit returns how long it takes until some of what was lent no longer counts.
-func (l *Lender) nextCredit(now time.Time, known *count) time.Duration {
+// nextCredit returns the time until some allowances no longer count.
+func (l *Lender) nextCredit(now time.Time, count *windowCount) time.Duration {
 	wait := l.policy.Window
-	for _, lent := range known.lent {
-		wait = min(wait, lent.until.Sub(now))
+	for _, entry := range count.entries {
+		wait = min(wait, entry.expiry.Sub(now))
 	}
-	if l.remembered(now) < l.policy.Window {
+	if l.knownHistory(now) < l.policy.Window {
 		wait = min(wait, countStep)
 	}
 	return max(wait, time.Millisecond)
 }
 
-// add counts allowances until a time.
-func (c *count) add(allowances int, until time.Time) {
+// add counts allowances until the given time.
+func (c *windowCount) add(allowances int, until time.Time) {
 	if allowances == 0 {
 		return
 	}
 	c.unsynced += allowances
-	for i := range c.lent {
-		known := &c.lent[i]
-		if after := until.Sub(known.first); after >= 0 && after < countStep {
-			known.count += allowances
-			if until.After(known.until) {
-				known.until = until
+	for i := range c.entries {
+		entry := &c.entries[i]
+		if offset := until.Sub(entry.firstExpiry); offset >= 0 && offset < countStep {
+			entry.count += allowances
+			if until.After(entry.expiry) {
+				entry.expiry = until
 			}
 			return
 		}
 	}
-	c.lent = append(c.lent, lending{count: allowances, first: until, until: until})
+	c.entries = append(c.entries, windowEntry{count: allowances, firstExpiry: until, expiry: until})
 }
 
-// sum returns what counts now.
-func (c *count) sum(now time.Time) int {
-	c.lent = slices.DeleteFunc(c.lent, func(lent lending) bool { return !now.Before(lent.until) })
+// sum drops expired entries and returns the number of allowances that count.
+func (c *windowCount) sum(now time.Time) int {
+	c.entries = slices.DeleteFunc(c.entries, func(entry windowEntry) bool { return !now.Before(entry.expiry) })
 	sum := 0
-	for _, lent := range c.lent {
-		sum += lent.count
+	for _, entry := range c.entries {
+		sum += entry.count
 	}
 	return sum
 }
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -7,21 +7,21 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// Part says which part of a program a request is. Where a program ends unfinished for want of
-// credit, all that it has used is lost; so credit that begun programs are likely to ask for is
-// set aside, and new programs begin with what is left.
+// Part is the position of a request in a program. A program that cannot finish for lack of credit
+// wastes everything it has used, so credit that active programs are likely to need is reserved, and
+// new programs start only with the rest.
 type Part uint8
 
 const (
-	// PartUnknown is what gateways ask with that do not tell the parts apart.
+	// PartUnknown is used by gateways that do not distinguish the parts.
 	PartUnknown Part = iota
-	// PartFirst is the first request of a program, or one without a program.
+	// PartFirst is the first request of a program, or a request without a program.
 	PartFirst
 	// PartLater is a later request of a program.
 	PartLater
 )
 
-// String names the part for logs and metrics.
+// String returns the name of the part in logs and metrics.
 func (p Part) String() string {
 	switch p {
 	case PartFirst:
@@ -33,38 +33,38 @@
 	}
 }
 
-// Usage is what a gateway tells a tenant's home lender: the requests that went on there by their
-// part, and the allowances that other lenders lent.
+// Usage is a gateway's report to a tenant's home lender: the requests that proceeded at the
+// gateway, by part, and the allowances that other lenders lent it.
 type Usage struct {
 	First, Later int
-	// Short counts later requests that were refused for want of credit, each time.
+	// Short counts rejections of later requests for lack of credit, including those of retries.
 	Short int
 	Lent  int
 }
 
-func (t *Usage) add(part Part, requests int) {
+func (u *Usage) add(part Part, requests int) {
 	switch part {
 	case PartFirst:
-		t.First += requests
+		u.First += requests
 	case PartLater:
-		t.Later += requests
+		u.Later += requests
 	}
 }
 
-// takeOut returns the counts and leaves what is below zero: requests that the home lender knows
-// of already and that have not gone on yet.
-func (t *Usage) takeOut() Usage {
-	told := Usage{First: max(0, t.First), Later: max(0, t.Later), Short: t.Short, Lent: t.Lent}
-	t.First -= told.First
-	t.Later -= told.Later
-	t.Short, t.Lent = 0, 0
-	return told
+// drain returns the counts and resets them, except negative ones: requests that the home lender
+// already knows of and that have not proceeded yet.
+func (u *Usage) drain() Usage {
+	reported := Usage{First: max(0, u.First), Later: max(0, u.Later), Short: u.Short, Lent: u.Lent}
+	u.First -= reported.First
+	u.Later -= reported.Later
+	u.Short, u.Lent = 0, 0
+	return reported
 }
 
-// Forecast is what the decision about a new program rests on.
+// Forecast holds the figures behind a decision about a new program.
 type Forecast struct {
-	// Credit is how many requests the limit still allows now, Begun how many programs began
-	// within the window, PerProgram how many requests a program makes in the mean.
+	// Credit is how many requests the limit still allows, Begun how many programs started within
+	// the window, PerProgram the mean number of requests of a program.
 	Credit     int
 	Begun      int
 	PerProgram float64
@@ -73,195 +73,197 @@
 }
 
 const (
-	// learnedFirsts is over how many programs at least the later requests of one are averaged,
-	// learnedWindows over how many windows: programs that begin together have not made their
-	// later requests yet.
-	learnedFirsts = 64
-	// youngDivisor divides the window into the time until a program that began counts: its later
-	// requests come after it, and in a burst of programs they would seem to make none.
-	youngDivisor   = 4
-	learnedWindows = 4
-	// priorFirsts is how many programs of a tenant weigh as much as what the programs of all
-	// tenants have taught.
-	priorFirsts = 2
-	// shortWeight is what one refusal of a later request weighs in the length of programs:
-	// callers repeat a request that is refused, and all its refusals together stand for one
-	// request that the program still had to make.
-	shortWeight = 0.1
-	// newShare is the part of a new program that must fit: with the whole of it, limits of a few
-	// programs a window would be left unused by up to one program.
-	newShare = 0.5
-	// accountLife is how long the account of a tenant that sends nothing is kept.
+	// minLearnedPrograms is the minimum number of programs over which the number of later requests
+	// is averaged, learnedWindows the minimum number of windows: programs that start together have
+	// not made their later requests yet.
+	minLearnedPrograms = 64
+	// maturityDivisor divides the window into the time after which a started program is used for
+	// learning. Its later requests follow its start, so in a burst of new programs the programs
+	// would seem to make none.
+	maturityDivisor = 4
+	learnedWindows  = 4
+	// priorPrograms is the weight of the average over all tenants, in programs of the tenant.
+	priorPrograms = 2
+	// rejectionWeight is the weight of one rejection of a later request in the length of programs:
+	// callers retry a rejected request, and all its rejections together stand for one request that
+	// the program still had to make.
+	rejectionWeight = 0.1
+	// newProgramShare is the part of a new program that must fit. If the whole program had to fit,
+	// limits of a few programs per window would leave up to one program unused.
+	newProgramShare = 0.5
+	// accountLife is how long the account of a tenant without requests is kept.
 	accountLife = 10 * time.Minute
 )
 
-// account is what the home lender of a tenant knows of its programs, over all gateways. A loss
-// of it makes the decision as lenient as without one until a window has passed.
+// account is what a tenant's home lender knows of the tenant's programs, over all gateways. If it
+// is lost, decisions are as lenient as without it until a window has passed.
 type account struct {
-	// begun counts the programs that began within the window, lent the allowances that count.
-	begun, lent count
-	// served counts the requests that went on with them.
-	served count
-	// young counts programs that teach no length yet.
-	young   count
-	learned ratio
-	// toldAt is when a gateway last told of the tenant.
-	toldAt time.Time
+	// begun counts the programs that started within the window, lent the allowances within it.
+	begun, lent windowCount
+	// served counts the requests that used them.
+	served windowCount
+	// immature counts the programs that are too recent to learn from.
+	immature windowCount
+	learned  ratio
+	// updatedAt is when a gateway last reported on the tenant.
+	updatedAt time.Time
 }
 
-// ratio learns how many later requests a program makes. Counts lose weight with each program
-// and not with time: while new programs are refused, the later requests of the running ones
-// must not make programs seem longer.
-type ratio struct{ firsts, laters, short float64 }
+// ratio learns how many later requests a program makes. Its counts decay with each program instead
+// of with time: while new programs are refused, the later requests of active ones must not make
+// programs seem longer.
+type ratio struct{ programs, laterRequests, rejections float64 }
 
-func (r *ratio) add(told Usage, begun int) {
-	memory := max(learnedFirsts, float64(learnedWindows*begun))
-	kept := math.Pow(1-1/memory, float64(told.First))
-	r.firsts = r.firsts*kept + float64(told.First)
-	r.laters = r.laters*kept + float64(told.Later)
-	r.short = r.short*kept + float64(told.Short)
+func (r *ratio) add(usage Usage, begun int) {
+	memory := max(minLearnedPrograms, float64(learnedWindows*begun))
+	weight := math.Pow(1-1/memory, float64(usage.First))
+	r.programs = r.programs*weight + float64(usage.First)
+	r.laterRequests = r.laterRequests*weight + float64(usage.Later)
+	r.rejections = r.rejections*weight + float64(usage.Short)
 }
 
-// perProgram returns the requests of a program, by what others' programs taught where few are
-// known. Programs that are cut short would make it look shorter and let still more begin, so
-// refusals of later requests count as well, up to as much as what went on.
+// perProgram returns the mean number of requests of a program. While few programs are known, it is
+// weighted towards the mean of others. Unfinished programs would make programs seem shorter and
+// admit even more of them, so rejections of later requests count as well, up to the number of later
+// requests that proceeded.
 func (r *ratio) perProgram(others ratio) float64 {
-	prior := others.laters / max(1, others.firsts)
-	return 1 + (r.laters+min(shortWeight*r.short, r.laters)+priorFirsts*prior)/max(1, r.firsts+priorFirsts)
+	prior := others.laterRequests / max(1, others.programs)
+	return 1 + (r.laterRequests+min(rejectionWeight*r.rejections, r.laterRequests)+priorPrograms*prior)/max(1, r.programs+priorPrograms)
 }
 
-// look returns the account under a limit that allows so many requests in a window.
-func (a *account) look(now time.Time, most float64, others ratio) Forecast {
+// forecast returns the forecast of the account, given how many allowances may be outstanding.
+func (a *account) forecast(now time.Time, lendable float64, others ratio) Forecast {
 	lent := a.lent.sum(now)
 	return Forecast{
-		Credit: int(most) - lent, Begun: a.begun.sum(now),
-		PerProgram: min(most, a.learned.perProgram(others)), Unused: max(0, lent-a.served.sum(now)),
+		Credit: int(lendable) - lent, Begun: a.begun.sum(now),
+		PerProgram: min(lendable, a.learned.perProgram(others)), Unused: max(0, lent-a.served.sum(now)),
 	}
 }
 
-// fits reports whether a new program may begin besides so many others: what the programs that
-// began within the window ask for in all must be within what the limit allows in one. A program
-// is counted whole while it is short beside the window, and by its share of each window while
-// it is longer. Allowances that were lent ahead and not used are missing from the limit. After a
-// window without a new program one always fits, however wrong the forecast is.
-func (f Forecast) fits(begun int, most float64) bool {
-	return begun == 0 || (float64(begun)+newShare)*f.PerProgram <= most-float64(f.Unused)
+// fits reports whether a new program may start in addition to the given number of programs: the
+// total demand of the programs that started within the window must be within what may be lent in a
+// window. A program counts in full while it is short compared to the window, and by its part in
+// each window if it is longer. Unused allowances reduce the limit. After a window without a new
+// program one always fits, however wrong the forecast is.
+func (f Forecast) fits(begun int, lendable float64) bool {
+	return begun == 0 || (float64(begun)+newProgramShare)*f.PerProgram <= lendable-float64(f.Unused)
 }
 
-// wait returns when a new program fits (see fits) and there is credit for its first request.
-func (a *account) wait(now time.Time, seen Forecast, most float64) time.Duration {
+// wait returns the time until a new program fits and there is credit for its first request.
+func (a *account) wait(now time.Time, forecast Forecast, lendable float64) time.Duration {
 	var wait time.Duration
-	begun := seen.Begun
-	for _, end := range a.begun.lent {
-		if seen.fits(begun, most) {
+	begun := forecast.Begun
+	for _, entry := range a.begun.entries {
+		if forecast.fits(begun, lendable) {
 			break
 		}
-		begun -= end.count
-		wait = end.until.Sub(now)
+		begun -= entry.count
+		wait = entry.expiry.Sub(now)
 	}
-	if seen.Credit < 1 && len(a.lent.lent) > 0 {
-		wait = max(wait, a.lent.lent[0].until.Sub(now))
+	if forecast.Credit < 1 && len(a.lent.entries) > 0 {
+		wait = max(wait, a.lent.entries[0].expiry.Sub(now))
 	}
 	return max(wait, time.Millisecond)
 }
 
-// grown returns how many programs are young no longer since it was asked last.
-func (a *account) grown(now time.Time) int {
+// matured returns how many programs have become old enough to learn from since the last call.
+func (a *account) matured(now time.Time) int {
 	before := 0
-	for _, lent := range a.young.lent {
-		before += lent.count
+	for _, entry := range a.immature.entries {
+		before += entry.count
 	}
-	return before - a.young.sum(now)
+	return before - a.immature.sum(now)
 }
 
-// tell counts what a gateway told, and returns the part that teaches how long programs are.
-func (a *account) tell(now time.Time, policy Policy, told Usage) Usage {
-	a.toldAt = now
-	a.begun.add(told.First, now.Add(policy.Window))
-	a.lent.add(told.Lent, now.Add(policy.life()+policy.Window))
-	a.served.add(told.First+told.Later, now.Add(policy.life()+policy.Window))
-	a.young.add(told.First, now.Add(policy.Window/youngDivisor))
-	told.First = a.grown(now)
-	a.learned.add(told, a.begun.sum(now))
-	return told
+// record adds the usage reported by a gateway, and returns the part of it to learn the length of
+// programs from.
+func (a *account) record(now time.Time, policy Policy, usage Usage) Usage {
+	a.updatedAt = now
+	a.begun.add(usage.First, now.Add(policy.Window))
+	a.lent.add(usage.Lent, now.Add(policy.life()+policy.Window))
+	a.served.add(usage.First+usage.Later, now.Add(policy.life()+policy.Window))
+	a.immature.add(usage.First, now.Add(policy.Window/maturityDivisor))
+	usage.First = a.matured(now)
+	a.learned.add(usage, a.begun.sum(now))
+	return usage
 }
 
-// programsOf returns the account of a tenant.
-func (l *Lender) programsOf(now time.Time, name string) *account {
-	known := l.programs[name]
-	if known != nil {
-		return known
+// accountOf returns the account of a tenant, and creates it if there is none.
+func (l *Lender) accountOf(now time.Time, name string) *account {
+	existing := l.accounts[name]
+	if existing != nil {
+		return existing
 	}
-	for other, account := range l.programs {
-		if now.Sub(account.toldAt) > accountLife {
-			delete(l.programs, other)
+	for other, account := range l.accounts {
+		if now.Sub(account.updatedAt) > accountLife {
+			delete(l.accounts, other)
 		}
 	}
-	known = &account{toldAt: now}
-	l.programs[name] = known
-	return known
+	existing = &account{updatedAt: now}
+	l.accounts[name] = existing
+	return existing
 }
 
-// holdBack decides about the first request of a program and counts what the gateway told of
-// others. Only a tenant's home lender is asked with a part.
+// holdNewProgram decides about the first request of a program and records the usage that the
+// gateway reported. Only requests to a tenant's home lender have a part.
 //
-// It answers the load of programs that begin while their tenant's limit has no credit left for
-// their later requests: each such program takes credit of the others and ends unfinished.
-func (l *Lender) holdBack(now time.Time, asked Borrow, limit tenant.Limit) (Loan, bool) {
-	if asked.Part == PartUnknown {
+// Without it, programs start while their tenant's limit has no credit left for their later
+// requests: each such program takes credit from the others and ends unfinished.
+func (l *Lender) holdNewProgram(now time.Time, request Borrow, limit tenant.Limit) (Loan, bool) {
+	if request.Part == PartUnknown {
 		return Loan{}, false
 	}
-	known := l.programsOf(now, asked.Tenant)
-	l.tell(now, known, asked.Told)
-	if asked.Part != PartFirst {
+	account := l.accountOf(now, request.Tenant)
+	l.recordUsage(now, account, request.Told)
+	if request.Part != PartFirst {
 		return Loan{}, false
 	}
-	most := l.policy.lendable(limit)
-	seen := known.look(now, most, l.learned)
-	if seen.fits(seen.Begun, most) {
+	lendable := l.policy.lendable(limit)
+	forecast := account.forecast(now, lendable, l.allPrograms)
+	if forecast.fits(forecast.Begun, lendable) {
 		return Loan{}, false
 	}
-	return Loan{Held: true, Wait: known.wait(now, seen, most), Forecast: seen}, true
+	return Loan{Held: true, Wait: account.wait(now, forecast, lendable), Forecast: forecast}, true
 }
 
-// noteLent counts what was lent as the home lender.
-func (l *Lender) noteLent(now time.Time, asked Borrow, lent Loan) {
-	if asked.Part == PartUnknown {
+// recordLoan records what was lent as the home lender.
+func (l *Lender) recordLoan(now time.Time, request Borrow, loan Loan) {
+	if request.Part == PartUnknown {
 		return
 	}
-	var told Usage
-	told.add(asked.Part, lent.Waiting)
-	told.Lent = lent.Waiting + lent.Ahead
-	l.tell(now, l.programsOf(now, asked.Tenant), told)
+	var usage Usage
+	usage.add(request.Part, loan.Waiting)
+	usage.Lent = loan.Waiting + loan.Ahead
+	l.recordUsage(now, l.accountOf(now, request.Tenant), usage)
 }
 
-// mayLendAhead reports whether credit may be lent ahead: what is not used of it is missing to
-// begun programs, so a home lender does so only while more than half of its share is left.
-func (l *Lender) mayLendAhead(asked Borrow, limit tenant.Limit, credit int) bool {
-	return asked.Part == PartUnknown || 2*credit > l.most(limit)
+// mayLendAhead reports whether credit may be lent in advance. Unused allowances are unavailable to
+// active programs, so a home lender does this only while more than half of its share is left.
+func (l *Lender) mayLendAhead(request Borrow, limit tenant.Limit, credit int) bool {
+	return request.Part == PartUnknown || 2*credit > l.maxOutstanding(limit)
 }
 
-// tell counts requests in a tenant's account and in what all programs teach.
-func (l *Lender) tell(now time.Time, known *account, told Usage) {
-	taught := known.tell(now, l.policy, told)
-	l.learned.add(taught, known.begun.sum(now))
+// recordUsage records usage in a tenant's account and in the average over all programs.
+func (l *Lender) recordUsage(now time.Time, account *account, usage Usage) {
+	learned := account.record(now, l.policy, usage)
+	l.allPrograms.add(learned, account.begun.sum(now))
 }
 
-// Reservations returns what begun programs are likely to ask for still, by tenant, where that is a
-// request or more.
+// Reservations returns the credit that active programs are still likely to need, by tenant, if it
+// is at least one request.
 func (l *Lender) Reservations(now time.Time) map[string]float64 {
-	asides := map[string]float64{}
-	for name, known := range l.programs {
+	reservations := map[string]float64{}
+	for name, account := range l.accounts {
 		listed := l.tenants.Named(name)
 		if listed == nil || !listed.Limit.Limited() {
 			continue
 		}
-		most := l.policy.lendable(listed.Limit)
-		seen := known.look(now, most, l.learned)
-		aside := float64(seen.Begun)*seen.PerProgram - float64(int(most)-seen.Credit)
-		if aside >= 1 {
-			asides[name] = aside
+		lendable := l.policy.lendable(listed.Limit)
+		forecast := account.forecast(now, lendable, l.allPrograms)
+		reserved := float64(forecast.Begun)*forecast.PerProgram - float64(int(lendable)-forecast.Credit)
+		if reserved >= 1 {
+			reservations[name] = reserved
 		}
 	}
-	return asides
+	return reservations
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -33,107 +33,107 @@
 	return l
 }
 
-// lend asks for as many allowances as there are.
+// lend borrows as many allowances as the lender has.
 func lend(l *Lender, at time.Duration) int {
-	lent, _ := l.Lend(start.Add(at), Borrow{Tenant: "t0", Waiting: 100_000})
-	return lent.Waiting
+	loan, _ := l.Lend(start.Add(at), Borrow{Tenant: "t0", Waiting: 100_000})
+	return loan.Waiting
 }
 
 const second = time.Second
 
-func TestALenderLendsItsShareInAWindow(t *testing.T) {
+func TestLenderLendsItsSharePerWindow(t *testing.T) {
 	l := lenderOf(4, tenant.Limit{PerSecond: 40, Burst: 20})
-	// (40 x 5 + 20) x 1.05 + 10, a quarter of it
+	// A quarter of (40 x 5 + 20) x 1.05 + 10.
 	require.Equal(t, 60, lend(l, 10*second))
 	require.Zero(t, lend(l, 15*second+200*time.Millisecond))
-	lent, _ := l.Lend(start.Add(12*second), Borrow{Tenant: "t0", Waiting: 1})
-	require.Equal(t, 3250*time.Millisecond, lent.Wait, "the life of an allowance and a window after it was lent")
+	loan, _ := l.Lend(start.Add(12*second), Borrow{Tenant: "t0", Waiting: 1})
+	require.Equal(t, 3250*time.Millisecond, loan.Wait, "one allowance life and one window after lending")
 	require.Equal(t, 60, lend(l, 15*second+250*time.Millisecond))
 }
 
-// Earlier voters, or an earlier disk, may have lent all of the window.
-func TestANewVoterLendsMoreAsTheWindowPasses(t *testing.T) {
+// Earlier voters, or an earlier disk, may have lent everything within the window.
+func TestNewVoterLendsInProportionToItsHistory(t *testing.T) {
 	l := lenderOf(4, tenant.Limit{PerSecond: 40, Burst: 20})
 	require.Zero(t, lend(l, 0))
 	require.Equal(t, 12, lend(l, second))
 	require.Equal(t, 12, lend(l, 2*second))
 }
 
-// A restart must not lend again what was lent a moment before.
-func TestARestartedVoterGoesOnWithWhatItLent(t *testing.T) {
+// A restarted voter must not lend again what it lent just before the restart.
+func TestRestartedVoterCountsEarlierLendings(t *testing.T) {
 	l := NewLender(policy)
 	l.SetTenants(indexOf(tenant.Limit{PerSecond: 40, Burst: 20}, tenant.Limit{PerSecond: 40, Burst: 20}))
 	l.Resume(start, 0, 4, map[string]int{"t0": 50})
-	require.Zero(t, lend(l, 0), "48 by the share of a set with one voter more")
-	other, _ := l.Lend(start, Borrow{Tenant: "t1", Waiting: 1000})
-	require.Equal(t, 48, other.Waiting)
+	require.Zero(t, lend(l, 0), "limited to 48 by the share of a set with one more voter")
+	loan, _ := l.Lend(start, Borrow{Tenant: "t1", Waiting: 1000})
+	require.Equal(t, 48, loan.Waiting)
 	require.Equal(t, map[string]int{"t0": 50, "t1": 48}, l.Outstanding(start))
 	require.Equal(t, 10, lend(l, 5*second))
-	require.Zero(t, lend(l, 5*second), "what was lent ahead before the restart may be used after it")
+	require.Zero(t, lend(l, 5*second), "allowances lent ahead before the restart may still be used")
 	require.Equal(t, 50, lend(l, 6*second))
 	require.Empty(t, l.Outstanding(start.Add(time.Minute)))
 }
 
-// What a loss of power may make a lender forget is bounded by a share of the slack.
-func TestALendingWaitsForTheDiskWhenMuchIsNotOnIt(t *testing.T) {
+// What a power failure may make a lender forget is bounded by a part of the slack.
+func TestLendRequiresASyncOnceTheUnsyncedBoundIsReached(t *testing.T) {
 	l := lenderOf(5, tenant.Limit{PerSecond: 40, Burst: 20})
-	ask := func() bool {
+	lendOne := func() bool {
 		_, sync := l.Lend(start.Add(time.Minute), Borrow{Tenant: "t0", Waiting: 1})
 		return sync
 	}
-	require.False(t, ask())
-	require.True(t, ask())
+	require.False(t, lendOne())
+	require.True(t, lendOne())
 	l.Synced("t0", 2)
-	require.False(t, ask())
+	require.False(t, lendOne())
 }
 
-func TestALenderWithoutAShareIsUnable(t *testing.T) {
+func TestLenderWithoutAShareIsUnable(t *testing.T) {
 	l := NewLender(policy)
-	ask := func(name string) Loan {
-		lent, _ := l.Lend(start.Add(time.Minute), Borrow{Tenant: name, Waiting: 1})
-		return lent
+	lendTo := func(name string) Loan {
+		loan, _ := l.Lend(start.Add(time.Minute), Borrow{Tenant: name, Waiting: 1})
+		return loan
 	}
-	require.True(t, ask("t0").Unable, "no configuration is known")
+	require.True(t, lendTo("t0").Unable, "no configuration has been loaded")
 	l.SetTenants(indexOf(tenant.Limit{PerSecond: 1}, tenant.Limit{}))
-	require.True(t, ask("t0").Unable, "it is no voter")
+	require.True(t, lendTo("t0").Unable, "it is not a voter")
 	l.SetVoters(start, 0, 3)
-	require.False(t, ask("t0").Unable)
-	require.True(t, ask("t1").Unlimited)
-	require.True(t, ask("unknown").Unable)
+	require.False(t, lendTo("t0").Unable)
+	require.True(t, lendTo("t1").Unlimited)
+	require.True(t, lendTo("unknown").Unable)
 	l.SetVoters(start, -1, 3)
 	l.SetVoters(start.Add(second), -1, 3)
 	require.True(t, NewLender(policy).tenants.Named("t0") == nil)
 }
 
-// Voters that do not know yet that one of them was left out lend by the old share.
-func TestALargerShareHoldsAWindowLater(t *testing.T) {
+// Voters that do not know yet of the removal of a voter still lend by the old share.
+func TestLargerShareTakesEffectAfterAWindow(t *testing.T) {
 	l := lenderOf(4, tenant.Limit{PerSecond: 40, Burst: 20})
 	l.SetVoters(start.Add(60*second), 0, 3)
 	require.Equal(t, 60, lend(l, 61*second))
 	require.Equal(t, 80, lend(l, 67*second))
 	l.SetVoters(start.Add(68*second), 0, 2)
 	l.SetVoters(start.Add(69*second), 0, 1)
-	require.Zero(t, lend(l, 70*second), "of two changes the later one does not lift the first one's bound")
+	require.Zero(t, lend(l, 70*second), "the second change does not lift the bound of the first one")
 	l.SetVoters(start.Add(70*second), 0, 5)
-	require.Equal(t, 48, lend(l, 80*second), "a smaller share holds at once")
+	require.Equal(t, 48, lend(l, 80*second), "a smaller share takes effect at once")
 }
 
-// Rounding each voter's part down would leave small limits partly unlent.
-func TestTheSharesOfAllVotersAreTheWholeLimit(t *testing.T) {
+// Rounding each voter's portion down would leave a part of small limits unlent.
+func TestVoterSharesAddUpToTheLimit(t *testing.T) {
 	for _, total := range []int{1, 7, 48, 60, 1003} {
 		for voters := 1; voters <= 11; voters++ {
-			sum, least, most := 0, total, 0
+			sum, smallest, largest := 0, total, 0
 			for index := range voters {
-				part := share{index, voters}.of(float64(total) + 0.9)
-				sum, least, most = sum+part, min(least, part), max(most, part)
+				portion := share{index, voters}.portion(float64(total) + 0.9)
+				sum, smallest, largest = sum+portion, min(smallest, portion), max(largest, portion)
 			}
 			require.Equal(t, total, sum)
-			require.LessOrEqual(t, most-least, 1)
+			require.LessOrEqual(t, largest-smallest, 1)
 		}
 	}
 }
 
-func TestALoweredLimitHoldsAtOnce(t *testing.T) {
+func TestLoweredLimitTakesEffectAtOnce(t *testing.T) {
 	l := lenderOf(1, tenant.Limit{PerSecond: 1000, Burst: 1000})
 	require.Equal(t, 6310, lend(l, 60*second))
 	l.SetTenants(indexOf(tenant.Limit{PerSecond: 2, Burst: 1}))
@@ -141,17 +141,17 @@
 	require.Equal(t, 21, lend(l, 66*second))
 }
 
-func TestWhatWasLentAheadIsBounded(t *testing.T) {
+func TestLendingAheadIsBounded(t *testing.T) {
 	l := lenderOf(1, tenant.Limit{PerSecond: 100, Burst: 100})
-	lent, _ := l.Lend(start.Add(60*second), Borrow{Tenant: "t0", Ahead: 1000})
-	require.Equal(t, 80, lent.Ahead, "an eighth of 640")
+	loan, _ := l.Lend(start.Add(60*second), Borrow{Tenant: "t0", Ahead: 1000})
+	require.Equal(t, 80, loan.Ahead, "an eighth of 640")
 	require.Equal(t, 560, lend(l, 60*second))
 	require.Zero(t, lend(l, 65*second+249*time.Millisecond))
 	require.Equal(t, 560, lend(l, 65*second+250*time.Millisecond))
-	require.Equal(t, 80, lend(l, 66*second), "what was lent ahead may be used for a second")
+	require.Equal(t, 80, lend(l, 66*second), "allowances lent ahead are valid for a second")
 }
 
-func TestABorrowerAsksTheNextLenderAndSaysWhenThereIsCredit(t *testing.T) {
+func TestBorrowerTriesTheNextLenderAndReturnsTheShortestWait(t *testing.T) {
 	b := NewBorrower()
 	lenders := []string{"a", "b"}
 	b.Arrived(start, "t")
@@ -167,30 +167,30 @@
 	require.False(t, b.Consume(start, "t"))
 }
 
-// A gateway that slept, or an answer that took long, must not use what its lender counts as
-// gone.
-func TestAnAllowanceIsNotUsedAfterItsLife(t *testing.T) {
+// After a pause of the gateway or a slow answer, an allowance must not be used once its lender no
+// longer counts it.
+func TestExpiredAllowancesAreNotUsed(t *testing.T) {
 	b := NewBorrower()
 	b.Lent(start.Add(240*time.Millisecond), start, "a", Borrow{Tenant: "t"}, Loan{Waiting: 1, Life: 250 * time.Millisecond})
-	require.False(t, b.Consume(start.Add(260*time.Millisecond), "t"), "its life began when it was asked for")
+	require.False(t, b.Consume(start.Add(260*time.Millisecond), "t"), "its life starts when it is requested")
 	b.Lent(start.Add(240*time.Millisecond), start, "a", Borrow{Tenant: "t"}, Loan{Waiting: 1, Life: 250 * time.Millisecond, Ahead: 3, AheadLife: time.Second})
 	require.True(t, b.Consume(start.Add(900*time.Millisecond), "t"))
 	require.False(t, b.Consume(start.Add(time.Second), "t"))
 }
 
-func TestManyRequestsBorrowAhead(t *testing.T) {
+func TestHighDemandBorrowsAhead(t *testing.T) {
 	b := NewBorrower()
 	now := start
 	for range 400 {
 		now = now.Add(10 * time.Millisecond)
 		b.Arrived(now, "t")
 	}
-	require.InDelta(t, 87, b.Next(now, "t", []string{"a"}).Request.Ahead, 10, "100 a second came for two spans")
+	require.InDelta(t, 87, b.Next(now, "t", []string{"a"}).Request.Ahead, 10, "100 per second arrived for two time constants")
 	require.Zero(t, b.Next(now.Add(time.Minute), "t", []string{"a"}).Request.Ahead)
 }
 
-// A voter whose machine is gone must not make each request beyond the limit wait for it.
-func TestALenderThatDoesNotAnswerIsPassedOverOnceMostHaveNoneLeft(t *testing.T) {
+// A failed voter must not make each request beyond the limit wait for its answer.
+func TestTimedOutLenderIsSkippedOnceMostLendersAreExhausted(t *testing.T) {
 	b := NewBorrower()
 	lenders := []string{"a", "b", "c"}
 	b.TimedOut(start, "a")
@@ -198,53 +198,54 @@
 	b.Lent(start, start, "b", Borrow{Tenant: "t"}, Loan{Wait: 300 * time.Millisecond})
 	require.Equal(t, "c", b.Next(start, "t", lenders).Lender)
 	b.TimedOut(start, "c")
-	require.NotEmpty(t, b.Next(start, "t", lenders).Lender, "one of three does not speak for the limit")
+	require.NotEmpty(t, b.Next(start, "t", lenders).Lender, "one of three lenders is not a majority")
 	b.Lent(start, start, "c", Borrow{Tenant: "t"}, Loan{Wait: 200 * time.Millisecond})
 	delete(b.unansweredUntil, "c")
 	require.Equal(t, NextStep{Exhausted: 2, Wait: 200 * time.Millisecond}, b.Next(start, "t", lenders))
-	require.Equal(t, "a", b.Next(start.Add(unansweredPause), "t", lenders).Lender)
+	require.Equal(t, "a", b.Next(start.Add(unansweredPenalty), "t", lenders).Lender)
 }
 
-// flight is a message of the random schedules.
-type flight struct {
+// message is a message in flight.
+type message struct {
 	at      time.Time
 	deliver func(now time.Time)
 }
 
-// schedule is one random run of gateways and lenders.
-type schedule struct {
+// simulation is one random run of gateways and lenders.
+type simulation struct {
 	random   *rand.Rand
 	policy   Policy
 	limit    tenant.Limit
 	names    []string
 	lenders  map[string]*Lender
 	gateways []*Borrower
-	// sleeps is until when a gateway sleeps: what reaches it waits, its clock goes on.
-	sleeps []time.Time
-	flying []flight
-	// used are the times at which requests went on.
-	used []time.Time
-	// told says that gateways tell the parts of programs.
-	told bool
-	// disks are the lenders' lendings that are on their disks.
-	disks map[string][]diskLending
-}
-
-// diskLending is a lending on a disk.
-type diskLending struct {
+	// pausedUntil is the time until which a gateway is paused: messages to it wait, while its clock
+	// advances.
+	pausedUntil []time.Time
+	inFlight    []message
+	// servedAt holds the times at which requests proceeded.
+	servedAt []time.Time
+	// reportParts lets gateways report parts and usage.
+	reportParts bool
+	// synced holds the lendings on the disks of the lenders.
+	synced map[string][]syncedLending
+}
+
+// syncedLending is a lending on disk.
+type syncedLending struct {
 	at    time.Time
 	count int
 }
 
-func newSchedule(seed uint64) *schedule {
+func newSimulation(seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	s := &schedule{
+	s := &simulation{
 		random: random, policy: Policy{Window: policy.Window, Overage: 0.1, Slack: 8}, lenders: map[string]*Lender{},
-		disks:    map[string][]diskLending{},
+		synced:   map[string][]syncedLending{},
 		limit:    tenant.Limit{PerSecond: float64(1 + random.IntN(100)), Burst: float64(random.IntN(300))},
 		gateways: make([]*Borrower, 1+random.IntN(6)),
 	}
-	s.sleeps = make([]time.Time, len(s.gateways))
+	s.pausedUntil = make([]time.Time, len(s.gateways))
 	for number := range 1 + random.IntN(7) {
 		s.names = append(s.names, fmt.Sprint(number))
 	}
@@ -259,11 +260,10 @@
 	return s
 }
 
-// restart ends a lender without warning and starts it again from its disk. What was being
-// written is lost.
-func (s *schedule) restart(now time.Time, name string) {
+// restart kills a lender and restarts it from its disk. Writes in progress are lost.
+func (s *simulation) restart(now time.Time, name string) {
 	lent := 0
-	for _, lending := range s.disks[name] {
+	for _, lending := range s.synced[name] {
 		if now.Sub(lending.at) <= s.policy.Window+aheadLife {
 			lent += lending.count
 		}
@@ -271,33 +271,33 @@
 	s.lenders[name] = NewLender(s.policy)
 	s.lenders[name].SetTenants(indexOf(s.limit))
 	s.lenders[name].Resume(now, slices.Index(s.names, name), len(s.names), map[string]int{"t0": lent})
-	s.disks[name] = []diskLending{{at: now, count: lent}}
+	s.synced[name] = []syncedLending{{at: now, count: lent}}
 }
 
-// lend answers a gateway, after the disk where the lender wants that.
-func (s *schedule) lend(now time.Time, name string, asked Borrow, answer func(time.Time, Loan)) {
+// lend answers a gateway, after the disk write if the lender requires it.
+func (s *simulation) lend(now time.Time, name string, request Borrow, reply func(time.Time, Loan)) {
 	lender := s.lenders[name]
-	lent, sync := lender.Lend(now, asked)
-	allowances := lent.Waiting + lent.Ahead
-	s.flying = append(s.flying, flight{at: now.Add(time.Duration(s.random.IntN(80)) * time.Millisecond), deliver: func(then time.Time) {
+	loan, sync := lender.Lend(now, request)
+	allowances := loan.Waiting + loan.Ahead
+	s.inFlight = append(s.inFlight, message{at: now.Add(time.Duration(s.random.IntN(80)) * time.Millisecond), deliver: func(then time.Time) {
 		if s.lenders[name] != lender {
 			return
 		}
-		s.disks[name] = append(s.disks[name], diskLending{at: now, count: allowances})
+		s.synced[name] = append(s.synced[name], syncedLending{at: now, count: allowances})
 		lender.Synced("t0", allowances)
 		if sync {
-			answer(then, lent)
+			reply(then, loan)
 		}
 	}})
 	if !sync {
-		answer(now, lent)
+		reply(now, loan)
 	}
 }
 
-func (s *schedule) chance(share float64) bool { return s.random.Float64() < share }
+func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// fly sends a message, which may be lost, doubled, late and overtaken.
-func (s *schedule) fly(now time.Time, deliver func(time.Time)) {
+// send sends a message, which may be lost, duplicated, delayed and reordered.
+func (s *simulation) send(now time.Time, deliver func(time.Time)) {
 	copies := 1
 	if s.chance(0.05) {
 		copies = 2
@@ -310,53 +310,53 @@
 		if s.chance(0.1) {
 			delay = time.Duration(s.random.IntN(2000)) * time.Millisecond
 		}
-		s.flying = append(s.flying, flight{at: now.Add(delay), deliver: deliver})
+		s.inFlight = append(s.inFlight, message{at: now.Add(delay), deliver: deliver})
 	}
 }
 
-// land delivers what is due.
-func (s *schedule) land(now time.Time) {
-	flying := s.flying
-	s.flying = nil
-	for _, message := range flying {
-		if message.at.After(now) {
-			s.flying = append(s.flying, message)
+// deliver delivers the messages that are due.
+func (s *simulation) deliver(now time.Time) {
+	messages := s.inFlight
+	s.inFlight = nil
+	for _, m := range messages {
+		if m.at.After(now) {
+			s.inFlight = append(s.inFlight, m)
 			continue
 		}
-		message.deliver(now)
+		m.deliver(now)
 	}
 }
 
-// request is one request of the tenant at a gateway.
-func (s *schedule) request(now time.Time, gateway int) {
-	holder := s.gateways[gateway]
-	holder.Arrived(now, "t0")
-	if holder.Consume(now, "t0") {
-		s.used = append(s.used, now)
+// request simulates one request of the tenant at a gateway.
+func (s *simulation) request(now time.Time, gateway int) {
+	borrower := s.gateways[gateway]
+	borrower.Arrived(now, "t0")
+	if borrower.Consume(now, "t0") {
+		s.servedAt = append(s.servedAt, now)
 		return
 	}
-	step := holder.NextForPart(now, "t0", s.names, s.part(), s.told && s.chance(0.3))
-	lender, asked := step.Lender, step.Request
+	step := borrower.NextForPart(now, "t0", s.names, s.part(), s.reportParts && s.chance(0.3))
+	lender, request := step.Lender, step.Request
 	if lender == "" {
 		return
 	}
-	answered := false // the connection's owner takes the first answer to a question
-	s.fly(now, func(then time.Time) {
-		s.lend(then, lender, asked, func(answeredAt time.Time, lent Loan) {
-			s.fly(answeredAt, func(back time.Time) {
+	answered := false // a connection delivers only the first answer to a request
+	s.send(now, func(then time.Time) {
+		s.lend(then, lender, request, func(answeredAt time.Time, loan Loan) {
+			s.send(answeredAt, func(receivedAt time.Time) {
 				if !answered {
 					answered = true
-					s.lent(back, now, gateway, lender, asked, lent)
+					s.handleLoan(receivedAt, now, gateway, lender, request, loan)
 				}
 			})
 		})
 	})
 }
 
-// part returns the part of a program that a request is.
-func (s *schedule) part() Part {
+// part returns a random part for a request.
+func (s *simulation) part() Part {
 	switch {
-	case !s.told:
+	case !s.reportParts:
 		return PartUnknown
 	case s.chance(0.2):
 		return PartFirst
@@ -365,24 +365,24 @@
 	}
 }
 
-func (s *schedule) lent(now, sentAt time.Time, gateway int, lender string, asked Borrow, lent Loan) {
-	if now.Before(s.sleeps[gateway]) {
-		s.flying = append(s.flying, flight{at: s.sleeps[gateway], deliver: func(then time.Time) { s.lent(then, sentAt, gateway, lender, asked, lent) }})
+func (s *simulation) handleLoan(now, sentAt time.Time, gateway int, lender string, request Borrow, loan Loan) {
+	if now.Before(s.pausedUntil[gateway]) {
+		s.inFlight = append(s.inFlight, message{at: s.pausedUntil[gateway], deliver: func(then time.Time) { s.handleLoan(then, sentAt, gateway, lender, request, loan) }})
 		return
 	}
-	s.gateways[gateway].Lent(now, sentAt, lender, asked, lent)
+	s.gateways[gateway].Lent(now, sentAt, lender, request, loan)
 	if s.gateways[gateway].Consume(now, "t0") {
-		s.used = append(s.used, now)
+		s.servedAt = append(s.servedAt, now)
 	}
 }
 
-// play runs for 20 s. Callers rest, send a little, and send many at once, by turns.
-func (s *schedule) play() {
+// run runs the simulation for 18 s. Callers alternate between idle, low load and bursts.
+func (s *simulation) run() {
 	const step, steps = 20 * time.Millisecond, 900
 	restarted, intensity, phaseEnd := 0, 0, 0
 	for number := range steps {
 		now := start.Add(time.Duration(number) * step)
-		s.land(now)
+		s.deliver(now)
 		if number >= phaseEnd {
 			intensity = []int{0, 1, 12, 12}[s.random.IntN(4)]
 			phaseEnd = number + s.random.IntN(400)
@@ -392,11 +392,11 @@
 			restarted++
 		}
 		for gateway := range s.gateways {
-			if now.Before(s.sleeps[gateway]) {
+			if now.Before(s.pausedUntil[gateway]) {
 				continue
 			}
 			if s.chance(0.002) {
-				s.sleeps[gateway] = now.Add(time.Duration(s.random.IntN(3000)) * time.Millisecond)
+				s.pausedUntil[gateway] = now.Add(time.Duration(s.random.IntN(3000)) * time.Millisecond)
 				continue
 			}
 			for range s.random.IntN(intensity + 1) {
@@ -406,62 +406,60 @@
 	}
 }
 
-// mostInASpan returns the largest number of requests in any span of a window, counted from
-// the times alone.
-func (s *schedule) mostInASpan() int {
-	slices.SortFunc(s.used, time.Time.Compare)
-	most, first := 0, 0
-	for last, at := range s.used {
-		for at.Sub(s.used[first]) > s.policy.Window {
+// maxInWindow returns the largest number of requests in any window, computed from the times alone.
+func (s *simulation) maxInWindow() int {
+	slices.SortFunc(s.servedAt, time.Time.Compare)
+	highest, first := 0, 0
+	for last, at := range s.servedAt {
+		for at.Sub(s.servedAt[first]) > s.policy.Window {
 			first++
 		}
-		most = max(most, last-first+1)
+		highest = max(highest, last-first+1)
 	}
-	return most
+	return highest
 }
 
-// TestNoSpanExceedsTheLimit plays gateways and lenders under lost, doubled, late and
-// reordered messages, restarted lenders and sleeping gateways, with callers that ask for
-// more than the limit, and counts each span from outside.
+// TestNoSpanExceedsTheLimit simulates gateways and lenders with lost, duplicated, delayed and
+// reordered messages, restarted lenders and paused gateways, and callers that exceed the limit. It
+// counts the requests in each window independently of the package.
 func TestNoSpanExceedsTheLimit(t *testing.T) {
 	for seed := range uint64(200) {
-		s := newSchedule(seed)
-		s.play()
-		allowed := int(math.Floor(s.policy.inWindow(s.limit)*(1+s.policy.Overage) + s.policy.Slack))
-		require.LessOrEqual(t, s.mostInASpan(), allowed, "seed %d", seed)
+		s := newSimulation(seed)
+		s.run()
+		allowed := int(math.Floor(s.policy.windowLimit(s.limit)*(1+s.policy.Overage) + s.policy.Slack))
+		require.LessOrEqual(t, s.maxInWindow(), allowed, "seed %d", seed)
 	}
 }
 
-// The parts of programs change who is lent to, and never how much.
-func TestNoSpanExceedsTheLimitWherePartsAreTold(t *testing.T) {
+// The parts of programs change which requests get credit, but not how much is lent.
+func TestNoSpanExceedsTheLimitWithReportedParts(t *testing.T) {
 	for seed := range uint64(100) {
-		s := newSchedule(seed)
-		s.told = true
-		s.play()
-		allowed := int(math.Floor(s.policy.inWindow(s.limit)*(1+s.policy.Overage) + s.policy.Slack))
-		require.LessOrEqual(t, s.mostInASpan(), allowed, "seed %d", seed)
+		s := newSimulation(seed)
+		s.reportParts = true
+		s.run()
+		allowed := int(math.Floor(s.policy.windowLimit(s.limit)*(1+s.policy.Overage) + s.policy.Slack))
+		require.LessOrEqual(t, s.maxInWindow(), allowed, "seed %d", seed)
 	}
 }
 
-// What lies within the limit is served, wherever it arrives: a small limit by one gateway,
-// also where it all comes at once.
-func TestASmallLimitIsServedInFull(t *testing.T) {
+// All requests within a small limit are served if they arrive at one gateway, even all at once.
+func TestSmallLimitIsServedInFull(t *testing.T) {
 	limit := tenant.Limit{PerSecond: 3, Burst: 3}
 	lenders := map[string]*Lender{}
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	for _, name := range names {
 		lenders[name] = lenderOf(6, limit)
 	}
-	holder := NewBorrower()
+	borrower := NewBorrower()
 	for round := range 5 {
 		now := start.Add(10*second + time.Duration(round)*6*second)
 		for range 18 {
-			holder.Arrived(now, "t0")
-			for !holder.Consume(now, "t0") {
-				step := holder.Next(now, "t0", names)
+			borrower.Arrived(now, "t0")
+			for !borrower.Consume(now, "t0") {
+				step := borrower.Next(now, "t0", names)
 				require.NotEmpty(t, step.Lender)
-				lent, _ := lenders[step.Lender].Lend(now, step.Request)
-				holder.Lent(now, now, step.Lender, step.Request, lent)
+				loan, _ := lenders[step.Lender].Lend(now, step.Request)
+				borrower.Lent(now, now, step.Lender, step.Request, loan)
 			}
 		}
 	}
@@ -469,24 +467,24 @@
 
 func BenchmarkAdmission(b *testing.B) {
 	const tenants = 10_000
-	holder := NewBorrower()
+	borrower := NewBorrower()
 	names := make([]string, tenants)
 	now := start
 	for number := range names {
 		names[number] = fmt.Sprint("tenant-", number)
-		holder.Lent(now, now, "a", Borrow{Tenant: names[number]}, Loan{Ahead: math.MaxInt32, AheadLife: time.Hour})
+		borrower.Lent(now, now, "a", Borrow{Tenant: names[number]}, Loan{Ahead: math.MaxInt32, AheadLife: time.Hour})
 	}
 	b.ResetTimer()
 	for number := range b.N {
 		name := names[number%tenants]
-		holder.Arrived(now, name)
-		if !holder.Consume(now, name) {
+		borrower.Arrived(now, name)
+		if !borrower.Consume(now, name) {
 			b.Fatal("no allowance")
 		}
 	}
 }
 
-// BenchmarkLend lends to a tenant that asks a thousand times a second all the time.
+// BenchmarkLend lends to a tenant that borrows a thousand times per second.
 func BenchmarkLend(b *testing.B) {
 	l := lenderOf(4, tenant.Limit{PerSecond: 4000, Burst: 4000})
 	now := start.Add(time.Minute)
--- a/internal/quota/steady_test.go
+++ b/internal/quota/steady_test.go
@@ -9,9 +9,9 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// A steady tenant within its limit lends more often than the step in which ends are kept: each
-// lending must not put off the end of the ones before.
-func TestASteadyTenantWithinItsLimitIsNeverRefused(t *testing.T) {
+// A steady tenant within its limit borrows more often than the resolution of expiries. New lendings
+// must not extend the expiry of earlier ones.
+func TestSteadyTenantWithinItsLimitIsNeverRefused(t *testing.T) {
 	l := lenderOf(1, tenant.Limit{PerSecond: 100})
 	for number := range 3000 {
 		now := start.Add(60*second + time.Duration(number)*20*time.Millisecond) // 50 a second
