--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,13 +1,13 @@
-// Package fairshare says how far tenants are above their fair share of a service while room is
-// short. It counts the slot time that instances gave to each tenant of late, over all gateways.
+// Package fairshare computes how far tenants are above their fair share of a service while slots
+// are short. It tracks the slot time recently given to each tenant, over all gateways.
 //
-// It answers the load of one tenant that sends many times its usual, within its limit: without
-// shares its programs take the slots of all others. Who had more than its share goes after the
-// others. Nothing is kept free for anybody: a share that its tenant does not use goes to those
-// who ask, and what a tenant did not use is not saved up for later.
+// It protects against a tenant that sends many times its usual load within its limit: without fair
+// shares its programs take the slots of all others. Programs of tenants above their share are
+// started after those of other tenants. No capacity is reserved: a share that its tenant does not
+// use is available to others, and unused shares do not accumulate.
 //
-// Shares is a pure state machine: time comes in with each call. It is not safe for concurrent
-// use.
+// Shares does no I/O and reads no clock: the time is passed to each call. It is not safe for
+// concurrent use.
 package fairshare
 
 import (
@@ -23,145 +23,144 @@
 )
 
 const (
-	// window is over which time service is counted: several times as long as reports take to
-	// reach all gateways, and as short as programs are.
+	// window is the time constant of the recorded usage: several times the delay of reports to all
+	// gateways, and about the duration of a program.
 	window = 2 * time.Second
-	// reportLife is how long a silent gateway's figures count.
+	// reportLife is how long the last report of a gateway counts.
 	reportLife = 2 * time.Second
-	// heaviest is how many tenants a report tells of; the others are one entry together.
-	heaviest = 12
-	// leastServed is below which a tenant's service is forgotten.
-	leastServed = time.Millisecond
+	// maxReportedTenants is how many tenants a report contains; all others are summed in one entry.
+	maxReportedTenants = 12
+	// minUsage is the usage below which a tenant is dropped.
+	minUsage = time.Millisecond
 )
 
-// Key stands for a tenant in reports: the lower half of a hash of its name. Among 10,000 tenants
-// two share a key with a probability of about 1 in 90; they count as one.
+// Key identifies a tenant in reports: the lower half of a hash of its name. Among 10,000 tenants
+// two have the same key with a probability of about 1 in 90; they are treated as one tenant.
 type Key uint32
 
-// others is the entry of the tenants that a report does not name.
-const others Key = 0
+// otherTenants is the key of the sum over the tenants that are not in a report.
+const otherTenants Key = 0
 
 // KeyOf returns a tenant's key.
 func KeyOf(tenant string) Key { return max(1, Key(xxhash.Sum64String(tenant))) }
 
-// Usage are slot times in milliseconds, as they travel in reports.
+// Usage is slot time by tenant, in milliseconds, as contained in reports.
 type Usage = map[Key]float64
 
-// Shares counts the service that tenants had.
+// Shares tracks the slot time used by tenants.
 type Shares struct {
-	// own is the slot time of this gateway's requests in milliseconds, which loses its weight
-	// over the window; at is when that was last applied.
-	own Usage
-	at  time.Time
-	// reported is what the other gateways said.
-	reported *tally.Tally[Key]
-	// weights are the tenants' weights by the configuration.
+	// own is the usage at this gateway, decayed exponentially up to decayedAt.
+	own       Usage
+	decayedAt time.Time
+	// reports holds the reports of other gateways.
+	reports *tally.Tally[Key]
+	// weights are the configured weights of tenants.
 	weights map[Key]float64
-	// mean is the weight of tenants without one.
-	mean float64
+	// defaultWeight is the weight of tenants without a configured one.
+	defaultWeight float64
 }
 
-// New returns shares of which nothing is known.
+// New returns shares without any usage.
 func New() *Shares {
-	return &Shares{own: Usage{}, reported: tally.New[Key](reportLife), mean: 1}
+	return &Shares{own: Usage{}, reports: tally.New[Key](reportLife), defaultWeight: 1}
 }
 
-// SetWeights replaces the weights of tenants; those without one weigh as the mean of the others.
+// SetWeights replaces the weights of tenants. Tenants without a weight get the mean of the given
+// ones.
 func (s *Shares) SetWeights(weights map[string]float64) {
 	s.weights = make(map[Key]float64, len(weights))
 	for tenant, weight := range weights {
 		s.weights[KeyOf(tenant)] = weight
 	}
-	s.mean = meanOf(s.weights)
+	s.defaultWeight = meanOf(s.weights)
 }
 
-// RecordUsage counts slot time that a request of the tenant had.
+// RecordUsage records the slot time of a request of the tenant.
 func (s *Shares) RecordUsage(now time.Time, tenant string, slotTime time.Duration) {
-	s.settle(now)
+	s.decay(now)
 	s.own[KeyOf(tenant)] += milliseconds(slotTime)
 }
 
-// settle lets what was counted lose its weight.
-func (s *Shares) settle(now time.Time) {
-	passed := now.Sub(s.at)
-	if passed <= 0 {
+// decay applies the decay of the usage up to now.
+func (s *Shares) decay(now time.Time) {
+	elapsed := now.Sub(s.decayedAt)
+	if elapsed <= 0 {
 		return
 	}
-	s.at = now
-	kept := math.Exp(-passed.Seconds() / window.Seconds())
-	for key, served := range s.own {
-		if served *= kept; served < milliseconds(leastServed) {
+	s.decayedAt = now
+	remaining := math.Exp(-elapsed.Seconds() / window.Seconds())
+	for key, usage := range s.own {
+		if usage *= remaining; usage < milliseconds(minUsage) {
 			delete(s.own, key)
 		} else {
-			s.own[key] = served
+			s.own[key] = usage
 		}
 	}
 }
 
 func milliseconds(span time.Duration) float64 { return span.Seconds() * 1000 }
 
-// LocalReport returns what this gateway reports.
+// LocalReport returns the report of this gateway.
 func (s *Shares) LocalReport(now time.Time) Usage {
-	s.settle(now)
-	return shorten(s.own)
+	s.decay(now)
+	return truncate(s.own)
 }
 
-// ZoneReport returns what this gateway reports of its zone's gateways together.
+// ZoneReport returns the report of this gateway's zone, over all its gateways.
 func (s *Shares) ZoneReport(now time.Time) Usage {
-	s.settle(now)
-	return shorten(s.reported.WithZone(now, s.own))
+	s.decay(now)
+	return truncate(s.reports.WithZone(now, s.own))
 }
 
-// ReplaceReport takes what a source said in place of what it said before. The figures belong to
-// the shares afterwards.
-func (s *Shares) ReplaceReport(now time.Time, source tally.Source, figures Usage) {
-	s.reported.Replace(now, source, figures)
+// ReplaceReport replaces the previous report of the source. It takes ownership of usage.
+func (s *Shares) ReplaceReport(now time.Time, source tally.Source, usage Usage) {
+	s.reports.Replace(now, source, usage)
 }
 
-// shorten keeps the heaviest tenants and adds up the others. What a tenant is missing by that is
-// at most the last of the heaviest at each gateway.
-func shorten(figures Usage) Usage {
-	keys := slices.SortedFunc(maps.Keys(figures), func(a, b Key) int {
-		if a == others || b == others {
-			return cmp.Compare(b, a) // the entry of the others is last
+// truncate keeps the tenants with the highest usage and sums up the others. The error for an
+// omitted tenant is at most the smallest usage kept, at each gateway.
+func truncate(usage Usage) Usage {
+	keys := slices.SortedFunc(maps.Keys(usage), func(a, b Key) int {
+		if a == otherTenants || b == otherTenants {
+			return cmp.Compare(b, a) // the sum of other tenants sorts last
 		}
-		return cmp.Or(cmp.Compare(figures[b], figures[a]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(usage[b], usage[a]), cmp.Compare(a, b))
 	})
-	short := Usage{}
-	for place, key := range keys {
-		if place >= heaviest {
-			key = others
+	result := Usage{}
+	for i, key := range keys {
+		if i >= maxReportedTenants {
+			key = otherTenants
 		}
-		short[key] += figures[keys[place]]
+		result[key] += usage[keys[i]]
 	}
-	for key, served := range short {
-		short[key] = math.Round(served) // whole numbers travel in few bytes
+	for key, total := range result {
+		result[key] = math.Round(total) // integers encode in fewer bytes
 	}
-	return short
+	return result
 }
 
-// Excess returns how far above its fair share a tenant is: 0 within it, 1 at twice as much. The
-// fair share is of the service of the tenants that reports name, by their weights; tenants that no
-// report names are within theirs.
+// Excess returns how far a tenant is above its fair share: 0 within it, 1 at twice the share. The
+// fair share is the tenant's weighted part of the usage of all reported tenants. Tenants that are
+// not reported are within their share.
 func (s *Shares) Excess(now time.Time, tenant string) float64 {
-	s.settle(now)
-	served := s.reported.Sums(now)
-	for key, own := range s.own {
-		served[key] += own
+	s.decay(now)
+	usage := s.reports.Sums(now)
+	for key, local := range s.own {
+		usage[key] += local
 	}
-	delete(served, others)
+	delete(usage, otherTenants)
 	key := KeyOf(tenant)
-	if len(served) < 2 || served[key] == 0 {
+	if len(usage) < 2 || usage[key] == 0 {
 		return 0
 	}
 	var total, weights float64
-	// In the order of the keys, so that rounding does not depend on the order of the map.
-	for _, known := range slices.Sorted(maps.Keys(served)) {
-		total += served[known]
-		weights += s.weight(known)
+	// Sum in the order of the keys, so that rounding does not depend on the order of the map.
+	for _, k := range slices.Sorted(maps.Keys(usage)) {
+		total += usage[k]
+		weights += s.weight(k)
 	}
-	fair := total * s.weight(key) / weights
-	return max(0, served[key]/fair-1)
+	fairUsage := total * s.weight(key) / weights
+	return max(0, usage[key]/fairUsage-1)
 }
 
 // meanOf returns the mean of the weights, 1 if there are none.
@@ -180,5 +179,5 @@
 	if weight := s.weights[key]; weight > 0 {
 		return weight
 	}
-	return s.mean
+	return s.defaultWeight
 }
