--- a/internal/memorybudget/memorybudget.go
+++ b/internal/memorybudget/memorybudget.go
@@ -1,108 +1,109 @@
-// Package memorybudget counts the bytes that a process holds for its callers and bounds them:
-// all together, those of one tenant and those of one request. It is pure: the caller says what
-// it holds, and does what the bound asks for.
+// Package memorybudget accounts for the bytes that a process holds on behalf of its callers, and
+// limits them in total, per tenant and per request. It does no I/O: the caller reports what it
+// holds, and acts on the result.
 //
-// The load that it answers: callers that read slowly or not at all, and tenants that send more
-// and larger requests than usual. Without a bound the process ends, and all its callers pay.
+// It protects against callers that read slowly or not at all, and against tenants that send more
+// and larger requests than usual. Without limits the process would run out of memory and fail all
+// its callers.
 package memorybudget
 
-// Bound is a limit that was reached.
+// Bound identifies the limit that a reservation would exceed.
 type Bound uint8
 
 const (
-	// WithinLimits says that no limit was reached.
+	// WithinLimits means that no limit is exceeded.
 	WithinLimits Bound = iota
 	// TotalBound is the limit of all requests together.
 	TotalBound
-	// TenantBound is the limit of one tenant's requests.
+	// TenantBound is the limit of the requests of one tenant.
 	TenantBound
 	// RequestBound is the limit of one request.
 	RequestBound
 )
 
-// String returns the bound's name in logs and metrics.
+// String returns the name of the bound in logs and metrics.
 func (b Bound) String() string {
 	return [...]string{"within", "all", "tenant", "request"}[b]
 }
 
-// Limits are how many bytes may be held.
+// Limits are the limits in bytes.
 type Limits struct {
-	// Total is for requests that have begun; Admission is up to where further ones begin, so that
-	// those have room to grow.
+	// Total applies to all requests, Admission to new ones: new requests are refused above
+	// Admission, so that open ones have room to grow.
 	Total, Admission int64
-	// Tenant and Request bound one tenant's requests and one request.
+	// Tenant and Request are the limits of one tenant and of one request.
 	Tenant, Request int64
 }
 
-// LimitsOf shares the given number of bytes: a tenant may hold half of them, which leaves the
-// rest to all others, and a request an eighth, so that a handful of large ones fit. A quarter
-// is left for the growth of what has begun.
-func LimitsOf(all int64) Limits {
-	return Limits{Total: all, Admission: all - all/4, Tenant: all / 2, Request: all / 8}
+// LimitsOf derives limits from a total: half of it for one tenant, which leaves the rest to all
+// others, and an eighth for one request, so that several large ones fit. A quarter is kept for the
+// growth of open requests.
+func LimitsOf(total int64) Limits {
+	return Limits{Total: total, Admission: total - total/4, Tenant: total / 2, Request: total / 8}
 }
 
-// Budget counts what is held. It is not safe for concurrent use.
+// Budget accounts for the bytes held. It is not safe for concurrent use.
 type Budget struct {
 	limits   Limits
-	all      int64
+	total    int64
 	byTenant map[string]int64
 }
 
-// New returns a budget of which nothing is held.
+// New returns an empty budget.
 func New(limits Limits) *Budget {
 	return &Budget{limits: limits, byTenant: map[string]int64{}}
 }
 
-// Held returns how many bytes are held in all.
-func (b *Budget) Held() int64 { return b.all }
+// Held returns the total number of bytes held.
+func (b *Budget) Held() int64 { return b.total }
 
-// Reservation is what one request holds.
+// Reservation is the part of the budget that one request holds.
 type Reservation struct {
 	budget *Budget
 	tenant string
 	bytes  int64
 }
 
-// Reserve counts a new request of a tenant, "" where there are none, with what it holds at once.
-// It returns nil and the bound where that does not fit.
+// Reserve admits a new request of a tenant that holds the given number of bytes; tenant is "" if
+// there are no tenants. If the request does not fit it returns nil and the bound.
 func (b *Budget) Reserve(tenant string, bytes int64) (*Reservation, Bound) {
-	if b.all+bytes > b.limits.Admission {
+	if b.total+bytes > b.limits.Admission {
 		return nil, TotalBound
 	}
-	begun := &Reservation{budget: b, tenant: tenant}
-	if bound := begun.Grow(bytes); bound != WithinLimits {
+	reservation := &Reservation{budget: b, tenant: tenant}
+	if bound := reservation.Grow(bytes); bound != WithinLimits {
 		return nil, bound
 	}
-	return begun, WithinLimits
+	return reservation, WithinLimits
 }
 
-// Grow counts further bytes of a request that has begun. It counts none of them where they do
-// not fit, and returns the bound.
-func (h *Reservation) Grow(bytes int64) Bound {
-	b := h.budget
+// Grow adds bytes to the reservation of an open request. If they do not fit it adds none of them
+// and returns the bound.
+func (r *Reservation) Grow(bytes int64) Bound {
+	b := r.budget
 	switch {
-	case h.bytes+bytes > b.limits.Request:
+	case r.bytes+bytes > b.limits.Request:
 		return RequestBound
-	case h.tenant != "" && b.byTenant[h.tenant]+bytes > b.limits.Tenant:
+	case r.tenant != "" && b.byTenant[r.tenant]+bytes > b.limits.Tenant:
 		return TenantBound
-	case b.all+bytes > b.limits.Total:
+	case b.total+bytes > b.limits.Total:
 		return TotalBound
 	}
-	h.add(bytes)
+	r.add(bytes)
 	return WithinLimits
 }
 
-// Release counts the request's bytes no longer. A second call does nothing.
-func (h *Reservation) Release() { h.add(-h.bytes) }
+// Release returns the bytes of the request to the budget. Further calls have no effect.
+func (r *Reservation) Release() { r.add(-r.bytes) }
 
-func (h *Reservation) add(bytes int64) {
-	h.bytes += bytes
-	h.budget.all += bytes
-	if h.tenant == "" {
+func (r *Reservation) add(bytes int64) {
+	r.bytes += bytes
+	r.budget.total += bytes
+	if r.tenant == "" {
 		return
 	}
-	h.budget.byTenant[h.tenant] += bytes
-	if h.budget.byTenant[h.tenant] == 0 {
-		delete(h.budget.byTenant, h.tenant)
+	r.budget.byTenant[r.tenant] += bytes
+	if r.budget.byTenant[r.tenant] == 0 {
+		delete(r.budget.byTenant, r.tenant)
 	}
 }
--- a/internal/memorybudget/memorybudget_test.go
+++ b/internal/memorybudget/memorybudget_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever requests do, no limit is passed, and nothing stays counted once all have ended.
-func TestNoLimitIsPassed(t *testing.T) {
+// No sequence of operations exceeds a limit, and nothing is held once all requests are released.
+func TestLimitsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := LimitsOf(1 << 20)
 		budget := New(limits)
@@ -18,8 +18,8 @@
 			switch rapid.SampledFrom([]string{"begin", "grow", "release"}).Draw(t, "step") {
 			case "begin":
 				tenant := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant")
-				if begun, bound := budget.Reserve(tenant, bytes); bound == WithinLimits {
-					open = append(open, begun)
+				if reservation, bound := budget.Reserve(tenant, bytes); bound == WithinLimits {
+					open = append(open, reservation)
 				}
 			case "grow":
 				if len(open) > 0 {
@@ -33,39 +33,39 @@
 				}
 			}
 			sum, byTenant := int64(0), map[string]int64{}
-			for _, each := range open {
-				require.LessOrEqual(t, each.bytes, limits.Request)
-				sum += each.bytes
-				byTenant[each.tenant] += each.bytes
+			for _, reservation := range open {
+				require.LessOrEqual(t, reservation.bytes, limits.Request)
+				sum += reservation.bytes
+				byTenant[reservation.tenant] += reservation.bytes
 			}
 			require.Equal(t, sum, budget.Held())
 			require.LessOrEqual(t, sum, limits.Total)
 			require.LessOrEqual(t, byTenant["a"], limits.Tenant)
 			require.LessOrEqual(t, byTenant["b"], limits.Tenant)
 		}
-		for _, each := range open {
-			each.Release()
+		for _, reservation := range open {
+			reservation.Release()
 		}
 		require.Zero(t, budget.Held())
 		require.Empty(t, budget.byTenant)
 	})
 }
 
-func TestATenantLeavesRoomForOthersAndNewRequestsForBegunOnes(t *testing.T) {
+func TestLimitsLeaveHeadroomForOtherTenantsAndOpenRequests(t *testing.T) {
 	budget := New(LimitsOf(800))
 	var bound Bound
 	for bound == WithinLimits {
 		_, bound = budget.Reserve("hot", 50)
 	}
 	require.Equal(t, TenantBound, bound)
-	begun, bound := budget.Reserve("other", 100)
+	reservation, bound := budget.Reserve("other", 100)
 	require.Equal(t, WithinLimits, bound)
 	for bound == WithinLimits {
 		_, bound = budget.Reserve("other", 10)
 	}
 	require.Equal(t, TotalBound, bound)
-	require.Equal(t, RequestBound, begun.Grow(1))
+	require.Equal(t, RequestBound, reservation.Grow(1))
 	small, bound := budget.Reserve("third", 0)
 	require.Equal(t, WithinLimits, bound)
-	require.Equal(t, WithinLimits, small.Grow(100), "what has begun may grow")
+	require.Equal(t, WithinLimits, small.Grow(100), "open requests may grow")
 }
