--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -162,8 +162,8 @@
 	c := admission.NewController()
 	end := runPrograms(urgent, start, 20, 4, 3*time.Second, c)
 	runPrograms(lessUrgent, end, 20, 8, 3*time.Second, c)
-	for share := range 8 {
-		c.TurnCompleted(end, admission.Turn{Kind: lessUrgent, First: true, SlotTime: turnTime, Utilization: float64(share) / 8})
+	for step := range 8 {
+		c.TurnCompleted(end, admission.Turn{Kind: lessUrgent, First: true, SlotTime: turnTime, Utilization: float64(step) / 8})
 	}
 	encoded, err := admission.Encode(c.Figures(end))
 	require.NoError(t, err)
@@ -192,9 +192,9 @@
 // others start, and the others start more in its place. While slots are free, it starts all its
 // programs.
 func TestTenantAboveItsShareStartsFewerProgramsWhileSlotsAreShort(t *testing.T) {
-	const rounds, asking = 10, 500
+	const rounds, attempts = 10, 500
 	// started returns how many programs of two tenants start when their requests alternate.
-	started := func(slots int, excess, otherExcess float64) (own, othersStarted int) {
+	started := func(slots int, excess, otherExcess float64) (tenantStarted, othersStarted int) {
 		for round := range rounds {
 			c := admission.NewController()
 			end := runPrograms(urgent, start, 20, 4, 6*time.Second, c)
@@ -207,18 +207,18 @@
 				}
 				return 0
 			}
-			for number := range asking {
-				own += admitted(2*number, excess)
+			for number := range attempts {
+				tenantStarted += admitted(2*number, excess)
 				othersStarted += admitted(2*number+1, otherExcess)
 			}
 		}
-		return own, othersStarted
+		return tenantStarted, othersStarted
 	}
 	above, others := started(1000, 2, 0)
 	require.Equal(t, others, above)
 	above, others = started(11, 2, 0)
 	require.Positive(t, above)
-	require.Less(t, others, rounds*asking)
+	require.Less(t, others, rounds*attempts)
 	require.InEpsilon(t, float64(others)/3, above, 0.5)
 	one, another := started(11, 0, 0)
 	require.InEpsilon(t, one+another, above+others, 0.1, "no slot stays unused")
@@ -231,15 +231,15 @@
 	now := start
 	for number := range 200 {
 		now = now.Add(200 * time.Millisecond)
-		id, share := fmt.Sprint(number), 0.1
+		id, utilization := fmt.Sprint(number), 0.1
 		if number%40 >= 20 {
-			share = 0.8
+			utilization = 0.8
 		}
-		slotTime := time.Duration(float64(turnTime) * (1 + 2*share))
+		slotTime := time.Duration(float64(turnTime) * (1 + 2*utilization))
 		decide(c, now, urgent, admission.Load{Slots: slowdownSlots})
-		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: id, TimeLeft: timeLeft, Utilization: share, RetryFree: true})
+		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: id, TimeLeft: timeLeft, Utilization: utilization, RetryFree: true})
 		for turn := range 5 {
-			c.TurnCompleted(now.Add(time.Duration(turn)*(slotTime+pause)), admission.Turn{Kind: urgent, Program: id, First: turn == 0, SlotTime: slotTime, Utilization: share})
+			c.TurnCompleted(now.Add(time.Duration(turn)*(slotTime+pause)), admission.Turn{Kind: urgent, Program: id, First: turn == 0, SlotTime: slotTime, Utilization: utilization})
 		}
 		now = now.Add(5 * (slotTime + pause))
 	}
@@ -299,9 +299,9 @@
 	for i := range 100 {
 		now = now.Add(100 * time.Millisecond)
 		program := fmt.Sprint("p", i)
-		share := 0.45 + 0.1*float64(i/50)
-		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: program, Utilization: share})
-		c.TurnCompleted(now, admission.Turn{Kind: urgent, Program: program, First: true, SlotTime: 2 * turnTime, Utilization: share})
+		utilization := 0.45 + 0.1*float64(i/50)
+		c.ProgramStarted(now, admission.ProgramStart{Kind: urgent, Program: program, Utilization: utilization})
+		c.TurnCompleted(now, admission.Turn{Kind: urgent, Program: program, First: true, SlotTime: 2 * turnTime, Utilization: utilization})
 	}
 	decision := c.Decide(now, admission.Request{ID: "r", Kind: urgent, TimeLeft: 2 * time.Second}, admission.Load{Slots: slots, Busy: slots / 2})
 	require.True(t, decision.HasForecast)
@@ -313,7 +313,7 @@
 func TestUtilizationIsLimitedBeforeAnyKindIsKnown(t *testing.T) {
 	const attempts = 60
 	admitted := func(busy int) map[admission.Kind]int {
-		begun := map[admission.Kind]int{}
+		counts := map[admission.Kind]int{}
 		c := admission.NewController()
 		for i := range attempts {
 			now := start.Add(time.Duration(i) * 5 * time.Millisecond)
@@ -325,11 +325,11 @@
 					require.Positive(t, decision.RetryAfter)
 					continue
 				}
-				begun[kind]++
+				counts[kind]++
 				c.ProgramStarted(now, admission.ProgramStart{Kind: kind, Program: fmt.Sprint(kind.Route, i), Utilization: float64(busy) / 100})
 			}
 		}
-		return begun
+		return counts
 	}
 	full := admitted(60)
 	require.Positive(t, full[urgent], "one at a time, so that the kind is learned")
@@ -375,16 +375,16 @@
 	before := admission.NewController()
 	end := runPrograms(urgent, start, 20, 4, 20*time.Second, before)
 	load := admission.Load{Slots: 1000}
-	known := before.Decide(end, admission.Request{ID: "a", Kind: urgent}, load)
+	original := before.Decide(end, admission.Request{ID: "a", Kind: urgent}, load)
 	after := admission.NewController()
 	require.False(t, after.Decide(end, admission.Request{ID: "a", Kind: urgent}, load).HasForecast)
 	after.Restore(end, before.Snapshot(end), 2*time.Second)
 	restored := after.Decide(end, admission.Request{ID: "a", Kind: urgent}, load)
 	require.True(t, restored.HasForecast)
-	require.InEpsilon(t, known.Program.Turns, restored.Program.Turns, 0.1)
-	require.InEpsilon(t, known.Program.SlotTime, restored.Program.SlotTime, 0.05)
-	require.InEpsilon(t, known.Program.StageTime, restored.Program.StageTime, 0.05)
-	require.Positive(t, known.Committed)
+	require.InEpsilon(t, original.Program.Turns, restored.Program.Turns, 0.1)
+	require.InEpsilon(t, original.Program.SlotTime, restored.Program.SlotTime, 0.05)
+	require.InEpsilon(t, original.Program.StageTime, restored.Program.StageTime, 0.05)
+	require.Positive(t, original.Committed)
 	require.Zero(t, restored.Committed)
 	third := admission.NewController()
 	third.Restore(end, after.Snapshot(end), 0)
--- a/internal/overload/programs_test.go
+++ b/internal/overload/programs_test.go
@@ -110,15 +110,15 @@
 		return true
 	}
 	c.admission = policy.programs.Decide(r.now, admission.Request{
-		ID: id, Kind: c.programKind(), HoldUntil: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), Deadline: c.deadline,
-		TimeLeft: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now),
+		ID: id, Kind: c.programKind(), HoldUntil: c.startedAt.Add(milliseconds(2.5 * c.spec.WorkMS)), Deadline: c.deadline,
+		TimeLeft: c.startedAt.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now),
 	}, admission.Load{Slots: capacity.Slots, Busy: capacity.Busy})
 	if c.admission.Verdict != admission.Admit {
 		return false
 	}
 	policy.programs.ProgramStarted(r.now, admission.ProgramStart{
 		Kind: c.programKind(), Program: c.program, Utilization: float64(capacity.Busy) / float64(max(1, capacity.Slots)),
-		TimeLeft: c.began.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now), RetryFree: c.admission.RetryFree,
+		TimeLeft: c.startedAt.Add(milliseconds(c.spec.ObjectiveMS)).Sub(r.now), RetryFree: c.admission.RetryFree,
 	})
 	return true
 }
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -140,16 +140,16 @@
 
 // call is a caller's request over all its attempts.
 type call struct {
-	kind     string
-	program  string
-	spec     kind
-	zone     int
-	began    time.Time
-	deadline time.Time
-	first    bool
-	work     time.Duration
-	attempts int
-	refusals int
+	kind      string
+	program   string
+	spec      kind
+	zone      int
+	startedAt time.Time
+	deadline  time.Time
+	first     bool
+	work      time.Duration
+	attempts  int
+	refusals  int
 	// admission is the last admission decision for its program.
 	admission admission.Decision
 	end       func(ok bool)
@@ -247,14 +247,14 @@
 // arrive starts a program or a single request.
 func (r *simulation) arrive(name string, zone int) {
 	spec := r.load.Kinds[name]
-	began := r.now
+	startedAt := r.now
 	turns := max(1, spec.Turns)
 	r.programs++
 	program := fmt.Sprint("p", r.programs)
 	var turn func(done int)
 	turn = func(done int) {
 		if done == turns {
-			if r.now.Sub(began) <= milliseconds(spec.ObjectiveMS) {
+			if r.now.Sub(startedAt) <= milliseconds(spec.ObjectiveMS) {
 				r.outcomeOf(name).InTime++
 				r.outcomeOf(name).CompletedAt = append(r.outcomeOf(name).CompletedAt, r.now.Sub(r.startedAt))
 			} else {
@@ -279,7 +279,7 @@
 			lost = lost || !ok
 		}
 		for range spec.width(done) {
-			c := &call{kind: name, program: program, spec: spec, zone: zone, began: r.now, deadline: r.now.Add(milliseconds(spec.DeadlineMS))}
+			c := &call{kind: name, program: program, spec: spec, zone: zone, startedAt: r.now, deadline: r.now.Add(milliseconds(spec.DeadlineMS))}
 			c.first = spec.Turns > 0 && done == 0
 			c.work = milliseconds(spec.WorkMS * math.Exp(0.5*r.random.NormFloat64()-0.125))
 			c.end = func(ok bool) { end(c, ok) }
@@ -361,7 +361,7 @@
 	capacity := gateway.directory.Capacity(r.now, "s")
 	return overload.Request{
 		ID: id, FirstOfProgram: c.first, LaterOfProgram: c.spec.Calls || c.spec.Turns > 0 && !c.first, RouteRank: c.spec.Rank, TenantRank: c.spec.TenantRank, Deadline: c.deadline,
-		StartBy: c.began.Add(milliseconds(2.5 * c.spec.WorkMS)), LatencyObjective: milliseconds(2.5 * c.spec.WorkMS),
+		StartBy: c.startedAt.Add(milliseconds(2.5 * c.spec.WorkMS)), LatencyObjective: milliseconds(2.5 * c.spec.WorkMS),
 	}, overload.Capacity{Slots: capacity.Slots, Busy: capacity.Busy, Usual: capacity.Usual, RecentFirst: capacity.RecentFirst}
 }
 
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -123,22 +123,22 @@
 // Lend answers the request of a gateway. sync is set if the answer must wait until the lending is
 // on disk.
 func (l *Lender) Lend(now time.Time, request Borrow) (loan Loan, sync bool) {
-	listed := l.tenants.Named(request.Tenant)
+	configured := l.tenants.Named(request.Tenant)
 	l.dropPreviousShares(now)
 	switch {
-	case listed == nil || l.share.voters == 0:
+	case configured == nil || l.share.voters == 0:
 		return Loan{Unable: true}, false
-	case !listed.Limit.Limited():
+	case !configured.Limit.Limited():
 		return Loan{Unlimited: true}, false
 	}
-	if held, isHeld := l.holdNewProgram(now, request, listed.Limit); isHeld {
+	if held, isHeld := l.holdNewProgram(now, request, configured.Limit); isHeld {
 		return held, false
 	}
 	count := l.countOf(request.Tenant)
-	credit := l.credit(now, listed.Limit, count)
+	credit := l.credit(now, configured.Limit, count)
 	loan = Loan{Life: l.policy.life(), AheadLife: aheadLife}
 	loan.Waiting = max(0, min(request.Waiting, credit))
-	if l.mayLendAhead(request, listed.Limit, credit) {
+	if l.mayLendAhead(request, configured.Limit, credit) {
 		loan.Ahead = max(0, min(request.Ahead, (credit-loan.Waiting)/aheadDivisor))
 	}
 	count.add(loan.Waiting, now.Add(loan.Life+l.policy.Window))
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -98,8 +98,8 @@
 // account is what a tenant's home lender knows of the tenant's programs, over all gateways. If it
 // is lost, decisions are as lenient as without it until a window has passed.
 type account struct {
-	// begun counts the programs that started within the window, lent the allowances within it.
-	begun, lent windowCount
+	// started counts the programs that started within the window, lent the allowances in the window.
+	started, lent windowCount
 	// served counts the requests that used them.
 	served windowCount
 	// immature counts the programs that are too recent to learn from.
@@ -114,8 +114,8 @@
 // programs seem longer.
 type ratio struct{ programs, laterRequests, rejections float64 }
 
-func (r *ratio) add(usage Usage, begun int) {
-	memory := max(minLearnedPrograms, float64(learnedWindows*begun))
+func (r *ratio) add(usage Usage, started int) {
+	memory := max(minLearnedPrograms, float64(learnedWindows*started))
 	weight := math.Pow(1-1/memory, float64(usage.First))
 	r.programs = r.programs*weight + float64(usage.First)
 	r.laterRequests = r.laterRequests*weight + float64(usage.Later)
@@ -135,7 +135,7 @@
 func (a *account) forecast(now time.Time, lendable float64, others ratio) Forecast {
 	lent := a.lent.sum(now)
 	return Forecast{
-		Credit: int(lendable) - lent, Begun: a.begun.sum(now),
+		Credit: int(lendable) - lent, Begun: a.started.sum(now),
 		PerProgram: min(lendable, a.learned.perProgram(others)), Unused: max(0, lent-a.served.sum(now)),
 	}
 }
@@ -145,19 +145,19 @@
 // window. A program counts in full while it is short compared to the window, and by its part in
 // each window if it is longer. Unused allowances reduce the limit. After a window without a new
 // program one always fits, however wrong the forecast is.
-func (f Forecast) fits(begun int, lendable float64) bool {
-	return begun == 0 || (float64(begun)+newProgramShare)*f.PerProgram <= lendable-float64(f.Unused)
+func (f Forecast) fits(started int, lendable float64) bool {
+	return started == 0 || (float64(started)+newProgramShare)*f.PerProgram <= lendable-float64(f.Unused)
 }
 
 // wait returns the time until a new program fits and there is credit for its first request.
 func (a *account) wait(now time.Time, forecast Forecast, lendable float64) time.Duration {
 	var wait time.Duration
-	begun := forecast.Begun
-	for _, entry := range a.begun.entries {
-		if forecast.fits(begun, lendable) {
+	started := forecast.Begun
+	for _, entry := range a.started.entries {
+		if forecast.fits(started, lendable) {
 			break
 		}
-		begun -= entry.count
+		started -= entry.count
 		wait = entry.expiry.Sub(now)
 	}
 	if forecast.Credit < 1 && len(a.lent.entries) > 0 {
@@ -179,12 +179,12 @@
 // programs from.
 func (a *account) record(now time.Time, policy Policy, usage Usage) Usage {
 	a.updatedAt = now
-	a.begun.add(usage.First, now.Add(policy.Window))
+	a.started.add(usage.First, now.Add(policy.Window))
 	a.lent.add(usage.Lent, now.Add(policy.life()+policy.Window))
 	a.served.add(usage.First+usage.Later, now.Add(policy.life()+policy.Window))
 	a.immature.add(usage.First, now.Add(policy.Window/maturityDivisor))
 	usage.First = a.matured(now)
-	a.learned.add(usage, a.begun.sum(now))
+	a.learned.add(usage, a.started.sum(now))
 	return usage
 }
 
@@ -246,7 +246,7 @@
 // recordUsage records usage in a tenant's account and in the average over all programs.
 func (l *Lender) recordUsage(now time.Time, account *account, usage Usage) {
 	learned := account.record(now, l.policy, usage)
-	l.allPrograms.add(learned, account.begun.sum(now))
+	l.allPrograms.add(learned, account.started.sum(now))
 }
 
 // Reservations returns the credit that active programs are still likely to need, by tenant, if it
@@ -254,11 +254,11 @@
 func (l *Lender) Reservations(now time.Time) map[string]float64 {
 	reservations := map[string]float64{}
 	for name, account := range l.accounts {
-		listed := l.tenants.Named(name)
-		if listed == nil || !listed.Limit.Limited() {
+		configured := l.tenants.Named(name)
+		if configured == nil || !configured.Limit.Limited() {
 			continue
 		}
-		lendable := l.policy.lendable(listed.Limit)
+		lendable := l.policy.lendable(configured.Limit)
 		forecast := account.forecast(now, lendable, l.allPrograms)
 		reserved := float64(forecast.Begun)*forecast.PerProgram - float64(int(lendable)-forecast.Credit)
 		if reserved >= 1 {
