--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -10,84 +10,87 @@
 )
 
 const (
-	// unlistedLife is how long an instance serves on that an incomplete list lacks: one
-	// interval of its entry and a little more, and less than the two seconds within
-	// which an instance that did leave must get nothing new.
-	unlistedLife = 1500 * time.Millisecond
-	// relistedSingly is up to how many members are moved one after the other. Each move shifts
-	// half a list, 2 us among 10,000, where a pass over all lists takes some tens.
-	relistedSingly = 16
+	// unlistedGracePeriod is how long an instance that is missing from an incomplete list stays in
+	// service: slightly more than one renewal interval of its entry, and less than the two seconds
+	// within which an instance that did leave must stop getting requests.
+	unlistedGracePeriod = 1500 * time.Millisecond
+	// maxIncrementalUpdates is the number of members up to which the indexes are updated one member
+	// at a time. Each update shifts half an index, which takes 2 us for 10,000 members; a pass over
+	// all indexes takes some tens of microseconds.
+	maxIncrementalUpdates = 16
 )
 
-// ApplyChanges applies changes of the list of instances. It returns the ids of instances that are
-// gone, and of those that started again: nothing that was believed of them holds. Its work
-// follows the changes, not the instances there are.
+// ApplyChanges applies changes to the list of instances. It returns the ids of instances that were
+// removed or have restarted: all state held for them is invalid. The cost depends on the number of
+// changes, not on the number of instances.
 //
-// Entries lapse when instances cannot renew them, so a list read from a source that was lost
-// moments ago may be incomplete: what it lacks, and did not say that it leaves, serves on for
-// unlistedLife.
-func (d *Directory) ApplyChanges(now time.Time, changes Changes, incomplete bool) (ended []string) {
+// Entries expire when instances cannot renew them, so a list read from a source that was
+// unavailable moments ago may be incomplete. In that case an instance that is missing from the list
+// without having announced that it leaves stays in service for unlistedGracePeriod.
+func (d *Directory) ApplyChanges(now time.Time, changes Changes, incomplete bool) (invalidated []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	lacking := changes.Removed
+	removed := changes.Removed
 	if changes.Snapshot {
-		lacking = d.notIn(changes.Listed)
+		removed = d.missingFrom(changes.Listed)
 	}
 	var moved []*member
 	for _, instance := range changes.Listed {
-		reborn, listed := d.list(instance)
-		if reborn {
-			ended = append(ended, instance.ID)
+		restarted, added := d.upsert(instance)
+		if restarted {
+			invalidated = append(invalidated, instance.ID)
 		}
-		if listed != nil {
-			moved = append(moved, listed)
+		if added != nil {
+			moved = append(moved, added)
 		}
 	}
-	for _, id := range lacking {
-		d.unlist(now, id, incomplete)
+	for _, id := range removed {
+		d.markUnlisted(now, id, incomplete)
 	}
-	gone := d.dropUnlisted(now)
-	for _, known := range gone {
-		ended = append(ended, known.instance.ID)
+	expired := d.expireUnlisted(now)
+	for _, known := range expired {
+		invalidated = append(invalidated, known.instance.ID)
 	}
-	d.relist(moved, gone)
-	d.listCold(now, changes.Listed, lacking)
-	slices.Sort(ended)
-	return ended
+	d.updateIndexes(moved, expired)
+	d.updateCold(now, changes.Listed, removed)
+	slices.Sort(invalidated)
+	return invalidated
 }
 
-// notIn returns the ids of the members that a list lacks. The caller holds the lock.
-func (d *Directory) notIn(instances []Instance) []string {
+// missingFrom returns the ids of the members that are missing from a list. The caller must hold the
+// lock.
+func (d *Directory) missingFrom(instances []Instance) []string {
 	listed := make(map[string]bool, len(instances))
 	for _, instance := range instances {
 		listed[instance.ID] = true
 	}
-	var lacking []string
+	var missing []string
 	for id := range d.members {
 		if !listed[id] {
-			lacking = append(lacking, id)
+			missing = append(missing, id)
 		}
 	}
-	return lacking
+	return missing
 }
 
-// list takes an entry. It returns whether the instance has started again, and its member if the
-// lists by service and place lack that. The caller holds the lock.
-func (d *Directory) list(instance Instance) (reborn bool, moved *member) {
+// upsert adds or updates the member of an entry. It reports whether the instance has restarted, and
+// returns the member if it must be added to the indexes by service and locality. The caller must
+// hold the lock.
+func (d *Directory) upsert(instance Instance) (restarted bool, moved *member) {
 	known := d.members[instance.ID]
 	if known != nil && instance.Born < known.instance.Born && instance.Born != 0 {
-		return false, nil // an entry of an earlier life
+		return false, nil // a stale entry from before a restart
 	}
 	delete(d.unlisted, instance.ID)
 	switch {
 	case known == nil:
 		known = &member{cache: newPromptCache()}
 		moved = known
-	case startedAgain(known.instance, instance):
+	case hasRestarted(known.instance, instance):
 		d.inFlight[known.instance.Service] -= known.inFlight
 		known = &member{cache: newPromptCache()}
-		moved, reborn = known, true
-		d.forgetReports(instance.ID)
+		moved, restarted = known, true
+		d.dropReports(instance.ID)
 	case known.instance.Service != instance.Service || known.instance.Zone != instance.Zone:
 		d.inFlight[known.instance.Service] -= known.inFlight
 		d.inFlight[instance.Service] += known.inFlight
@@ -101,39 +104,41 @@
 	known.key = instancespeed.KeyOf(instance.ID, instance.Address, instance.Born)
 	known.unlistedUntil = time.Time{}
 	known.evacuated = d.evacuated[instance.Zone]
-	return reborn, moved
+	return restarted, moved
 }
 
-// startedAgain reports whether two entries under one id are of two lives of the instance.
-func startedAgain(before, after Instance) bool {
+// hasRestarted reports whether two entries with the same id belong to different runs of the
+// instance.
+func hasRestarted(before, after Instance) bool {
 	if before.Born != 0 && after.Born != 0 {
 		return after.Born > before.Born
 	}
 	return before.Address != after.Address
 }
 
-// forgetReports drops what other gateways told of an instance's load. The caller holds the lock.
-func (d *Directory) forgetReports(id string) {
+// dropReports removes an instance from the load reports of other gateways. The caller must hold the
+// lock.
+func (d *Directory) dropReports(id string) {
 	for _, report := range d.reports {
 		delete(report.loads, id)
 	}
 }
 
-// unlist notes that the list lacks an instance. The caller holds the lock.
-func (d *Directory) unlist(now time.Time, id string, incomplete bool) {
+// markUnlisted records that an instance is missing from the list. The caller must hold the lock.
+func (d *Directory) markUnlisted(now time.Time, id string, incomplete bool) {
 	known := d.members[id]
 	if known == nil || d.unlisted[id] {
 		return
 	}
 	d.unlisted[id] = true
 	if incomplete && !known.instance.Leaving {
-		known.unlistedUntil = now.Add(unlistedLife)
+		known.unlistedUntil = now.Add(unlistedGracePeriod)
 	}
 }
 
-// dropUnlisted removes the members whose time is over, and returns them. The caller holds the
-// lock.
-func (d *Directory) dropUnlisted(now time.Time) (gone []*member) {
+// expireUnlisted removes the unlisted members whose grace period is over, and returns them. The
+// caller must hold the lock.
+func (d *Directory) expireUnlisted(now time.Time) (expired []*member) {
 	for id := range d.unlisted {
 		known := d.members[id]
 		if now.Before(known.unlistedUntil) {
@@ -142,36 +147,37 @@
 		delete(d.unlisted, id)
 		delete(d.members, id)
 		d.inFlight[known.instance.Service] -= known.inFlight
-		gone = append(gone, known)
+		expired = append(expired, known)
 	}
-	return gone
+	return expired
 }
 
-// relist brings the lists by service and place up to date: moved members are missing in them,
-// gone ones still stand there. The caller holds the lock.
-func (d *Directory) relist(moved, gone []*member) {
-	if len(moved)+len(gone) > relistedSingly {
-		d.relistAtOnce(moved, gone)
+// updateIndexes updates the indexes by service and locality: moved members are missing from them,
+// removed ones are still present. The caller must hold the lock.
+func (d *Directory) updateIndexes(moved, removed []*member) {
+	if len(moved)+len(removed) > maxIncrementalUpdates {
+		d.updateIndexesInBulk(moved, removed)
 		return
 	}
-	for _, known := range gone {
+	for _, known := range removed {
 		d.removeMember(known)
 	}
 	for _, known := range moved {
-		for _, lists := range d.listsOf(known) {
+		for _, lists := range d.indexesOf(known) {
 			service := known.instance.Service
-			lists[service] = insert(lists[service], known)
+			lists[service] = insertSorted(lists[service], known)
 		}
 	}
 }
 
-// relistAtOnce is relist with one pass over each list. The caller holds the lock.
-func (d *Directory) relistAtOnce(moved, gone []*member) {
-	dropped := make(map[*member]bool, len(gone))
-	for _, known := range gone {
+// updateIndexesInBulk does the work of updateIndexes in one pass over each index. The caller must
+// hold the lock.
+func (d *Directory) updateIndexesInBulk(moved, removed []*member) {
+	dropped := make(map[*member]bool, len(removed))
+	for _, known := range removed {
 		dropped[known] = true
 	}
-	for _, lists := range []map[string][]*member{d.byService, d.near, d.regional} {
+	for _, lists := range []map[string][]*member{d.byService, d.sameZone, d.sameRegion} {
 		for service, list := range lists {
 			lists[service] = slices.DeleteFunc(list, func(known *member) bool { return dropped[known] })
 		}
@@ -181,7 +187,7 @@
 	for _, known := range moved {
 		service := known.instance.Service
 		byService[service] = append(byService[service], known)
-		inZone, inRegion := d.isNear(known)
+		inZone, inRegion := d.locality(known)
 		if inZone {
 			near[service] = append(near[service], known)
 		}
@@ -190,19 +196,19 @@
 		}
 	}
 	mergeInto(d.byService, byService)
-	mergeInto(d.near, near)
-	mergeInto(d.regional, regional)
+	mergeInto(d.sameZone, near)
+	mergeInto(d.sameRegion, regional)
 }
 
-// mergeInto adds sorted members to sorted lists.
+// mergeInto merges sorted members into sorted indexes.
 func mergeInto(lists, added map[string][]*member) {
 	for service, more := range added {
-		lists[service] = merge(lists[service], more)
+		lists[service] = mergeSorted(lists[service], more)
 	}
 }
 
-// merge returns the members of two sorted lists in their order.
-func merge(a, b []*member) []*member {
+// mergeSorted merges two sorted lists.
+func mergeSorted(a, b []*member) []*member {
 	merged := make([]*member, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
 		if byID(a[0], b[0]) < 0 {
@@ -214,7 +220,7 @@
 	return append(append(merged, a...), b...)
 }
 
-// remove takes the member under an id out of the lists, if there is one. The caller holds the
+// remove removes the member with an id from the indexes, if there is one. The caller must hold the
 // lock.
 func (d *Directory) remove(id string) {
 	if known := d.members[id]; known != nil {
@@ -223,41 +229,42 @@
 }
 
 func (d *Directory) removeMember(known *member) {
-	for _, lists := range d.listsOf(known) {
+	for _, lists := range d.indexesOf(known) {
 		service := known.instance.Service
-		lists[service] = without(lists[service], known)
+		lists[service] = removeSorted(lists[service], known)
 	}
 }
 
-// listsOf returns the lists in which a member stands: those of all instances, of its zone's and
-// of its region's. The caller holds the lock.
-func (d *Directory) listsOf(known *member) []map[string][]*member {
+// indexesOf returns the indexes that contain a member: by service, and where they apply those of
+// the gateway's zone and region. The caller must hold the lock.
+func (d *Directory) indexesOf(known *member) []map[string][]*member {
 	lists := []map[string][]*member{d.byService}
-	inZone, inRegion := d.isNear(known)
+	inZone, inRegion := d.locality(known)
 	if inZone {
-		lists = append(lists, d.near)
+		lists = append(lists, d.sameZone)
 	}
 	if inRegion {
-		lists = append(lists, d.regional)
+		lists = append(lists, d.sameRegion)
 	}
 	return lists
 }
 
-// isNear reports whether a member is listed among those of the own zone, and of the own region
-// where there are others. The caller holds the lock.
-func (d *Directory) isNear(known *member) (inZone, inRegion bool) {
+// locality reports whether a member is indexed as in the gateway's zone, and as in the gateway's
+// region; the latter index is used only if there are several regions. The caller must hold the
+// lock.
+func (d *Directory) locality(known *member) (inZone, inRegion bool) {
 	distance := d.network.places.Distance(d.zone, known.instance.Zone)
 	return distance == place.SameZone, d.severalRegions && distance != place.OtherRegion
 }
 
-// insert adds a member to a list in the order of ids.
-func insert(list []*member, known *member) []*member {
+// insertSorted adds a member to a list that is sorted by id.
+func insertSorted(list []*member, known *member) []*member {
 	at, _ := slices.BinarySearchFunc(list, known, byID)
 	return slices.Insert(list, at, known)
 }
 
-// without removes a member from a list in the order of ids, if it stands there.
-func without(list []*member, known *member) []*member {
+// removeSorted removes a member from a list that is sorted by id, if it is present.
+func removeSorted(list []*member, known *member) []*member {
 	at, found := slices.BinarySearchFunc(list, known, byID)
 	if !found || list[at] != known {
 		return list
--- a/internal/backend/cold.go
+++ b/internal/backend/cold.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// coldShare is the part of a usual request's time that a placement on a cold instance
-	// costs the most urgent kind of request; the n-th kind below it pays an n-th of that. It
-	// is less than one more request on a warm instance costs: cold instances must get what
-	// they withstand, or the warm ones have to serve it.
-	coldShare = 0.06
-	// coldReading is the part of the time to read the missing prompt tokens that is added: of
-	// instances with the same load, a long prompt goes to a warm one.
-	coldReading = 0.1
+	// coldCostShare is the cost of placing a request of the highest priority on a cold instance, as
+	// a fraction of the service's mean request duration; a request of priority n pays 1/(1+n) of
+	// that. It is lower than the cost of one more request on a warm instance: cold instances must
+	// get as many requests as they can take, or the warm ones have to serve them.
+	coldCostShare = 0.06
+	// coldReadShare is the fraction of the time to read the uncached prompt tokens that is added to
+	// the cost: among equally loaded instances, a long prompt goes to a warm one.
+	coldReadShare = 0.1
 )
 
-// ColdObserver is told what the directory believes of cold instances. It is called with the
-// directory locked and must not call back.
+// ColdObserver receives the directory's events about cold instances. Its methods are called with
+// the directory locked and must not call back.
 type ColdObserver interface {
-	// ColdChanged says that an instance became cold or warm, ColdCount how many are cold.
+	// ColdChanged reports that an instance became cold or warm, ColdCount the number of cold
+	// instances.
 	ColdChanged(change coldstart.Change)
 	ColdCount(cold int)
-	// ColdSent counts a request to a cold instance, ColdWithheld one for which no instance
-	// was found but cold ones in which this gateway has no free place.
+	// ColdSent counts a request sent to a cold instance, ColdWithheld a request that could be
+	// placed only on cold instances on which this gateway has no free place.
 	ColdSent()
 	ColdWithheld()
 }
 
-// LimitColdStarts makes the directory keep what cold instances withstand as one of the
-// fleet's gateways. It must be called before the first Update.
+// LimitColdStarts makes the directory enforce the rate limits of cold instances as one of the
+// fleet's gateways. It must be called before the first ApplyChanges.
 func (d *Directory) LimitColdStarts(gateway string, policy coldstart.Policy, observer ColdObserver) {
 	d.cold, d.coldObserver = coldstart.NewLimiter(gateway, policy), observer
 }
 
-// SetColdServices replaces what the configuration says of cold instances, by service.
+// SetColdServices replaces the configuration of cold instances, by service.
 func (d *Directory) SetColdServices(now time.Time, services map[string]coldstart.ServiceConfig) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,28 +44,28 @@
 	d.reportCold(now)
 }
 
-// SetGateways replaces the list of gateways, this one included, among which the places of
-// cold instances are divided.
+// SetGateways replaces the list of gateways, including this one, that share the places of cold
+// instances.
 func (d *Directory) SetGateways(now time.Time, gateways []coldstart.Gateway) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cold.SetGateways(now, gateways)
 }
 
-// listCold tells the gate of entries that are listed, and of instances that the list lacks. The
-// caller holds the lock.
-func (d *Directory) listCold(now time.Time, listed []Instance, lacking []string) {
+// updateCold passes added, changed and removed entries to the limiter. The caller must hold the
+// lock.
+func (d *Directory) updateCold(now time.Time, listed []Instance, removed []string) {
 	entries := make([]coldstart.Entry, 0, len(listed))
 	for _, instance := range listed {
 		entries = append(entries, coldstart.Entry{
 			ID: instance.ID, Service: instance.Service, Zone: instance.Zone, ColdFor: instance.ColdFor, Born: instance.Born,
 		})
 	}
-	d.cold.ApplyChanges(now, entries, lacking)
+	d.cold.ApplyChanges(now, entries, removed)
 	d.reportCold(now)
 }
 
-// reportCold tells the observer what changed. The caller holds the lock.
+// reportCold passes changes since the last call to the observer. The caller must hold the lock.
 func (d *Directory) reportCold(now time.Time) {
 	changes, cold := d.cold.Changes(now)
 	d.nextColdChange = d.cold.NextChange()
@@ -77,22 +78,24 @@
 	}
 }
 
-// reportColdIfDue calls reportCold once the next instance is due to become warm. The caller holds the lock.
+// reportColdIfDue calls reportCold once the next instance is due to become warm. The caller must
+// hold the lock.
 func (d *Directory) reportColdIfDue(now time.Time) {
 	if !d.nextColdChange.IsZero() && !now.Before(d.nextColdChange) {
 		d.reportCold(now)
 	}
 }
 
-// withheld notes a placement that found no instance for want of a place.
-func (d *Directory) withheld() {
+// reportWithheld counts a placement that found no instance because cold instances had no free
+// place.
+func (d *Directory) reportWithheld() {
 	if d.coldObserver != nil {
 		d.coldObserver.ColdWithheld()
 	}
 }
 
-// MaySend reports whether a request may be sent now by a choice made before, and must be asked
-// just before the send: the process may have been suspended since.
+// MaySend reports whether a request may still be sent to the instance chosen by Pick. It must be
+// called immediately before the send, because the process may have been suspended since Pick.
 func (d *Directory) MaySend(now time.Time, choice Choice) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -105,32 +108,33 @@
 	return true
 }
 
-// ResponseStarted notes that the answer to a request begins.
+// ResponseStarted records that the response to a request has started.
 func (d *Directory) ResponseStarted(now time.Time, choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cold.ResponseStarted(now, choice.permit)
 }
 
-// Misdirected notes that a request went to another instance, which has the address now and
-// refused it.
+// Misdirected records that a request reached a different instance, which now has the address and
+// rejected it.
 func (d *Directory) Misdirected(choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cold.Release(choice.permit)
 }
 
-// Abandon notes that no answer to a request is awaited any more, or that it was never sent.
+// Abandon records that the response to a request is no longer awaited, or that the request was
+// never sent.
 func (d *Directory) Abandon(now time.Time, choice Choice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cold.Abandon(now, choice.permit)
 }
 
-// AllCold reports whether a service has instances that may get new work, and all of them
-// are cold. If so, wait is when one of them has a place for this gateway, and shared is false
-// if none ever has.
-func (d *Directory) AllCold(now time.Time, service string) (wait time.Duration, shared, only bool) {
+// AllCold reports whether a service has instances that may get new requests and all of them are
+// cold. If so, wait is the time until this gateway has a free place on one of them; hasShare is
+// false if it has no places on any.
+func (d *Directory) AllCold(now time.Time, service string) (wait time.Duration, hasShare, allCold bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	serving := 0
@@ -143,12 +147,12 @@
 		}
 		serving++
 	}
-	wait, shared = d.cold.NextFreePlace(now, service)
-	return wait, shared, serving > 0
+	wait, hasShare = d.cold.NextFreePlace(now, service)
+	return wait, hasShare, serving > 0
 }
 
-// coldCost returns the price of choosing a cold instance, in milliseconds.
-func (d *Directory) coldCost(demand Demand, missing int) float64 {
-	known := d.paceOf(demand.Service)
-	return coldShare*known.durationMS()/float64(1+demand.Priority) + coldReading*float64(missing)*known.readingMS()
+// coldCost returns the cost of choosing a cold instance, in milliseconds.
+func (d *Directory) coldCost(demand Demand, uncached int) float64 {
+	known := d.serviceSpeedOf(demand.Service)
+	return coldCostShare*known.durationMS()/float64(1+demand.Priority) + coldReadShare*float64(uncached)*known.tokenMS()
 }
--- a/internal/backend/cold_test.go
+++ b/internal/backend/cold_test.go
@@ -12,11 +12,11 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// coldSettled is long enough after start for the only gateway to use its places.
+// coldSettled is late enough after start for the only gateway to use its places.
 var coldSettled = start.Add(time.Minute)
 
-// coldDirectory knows one warm engine, e00, and others that have just said that they are cold,
-// each with so many places for this gateway.
+// coldDirectory returns a directory with one warm engine, e00, and cold engines that each have the
+// given number of places for this gateway.
 func coldDirectory(cold, places int) *Directory {
 	d := NewDirectory("z")
 	d.LimitColdStarts("g", coldstart.Policy{Overage: 1}, nil)
@@ -30,23 +30,23 @@
 	return d
 }
 
-func TestColdInstancesGetWhatTheirPlacesAllow(t *testing.T) {
+func TestColdInstancesStayWithinTheirPlaces(t *testing.T) {
 	d := coldDirectory(2, 1)
 	now := coldSettled
-	taken := map[string]int{}
+	sends := map[string]int{}
 	for range 60 {
 		choice, found := d.Pick(now, Demand{Service: "llm"})
 		require.True(t, found)
 		require.True(t, d.MaySend(now, choice))
-		taken[choice.Instance.ID]++
+		sends[choice.Instance.ID]++
 	}
-	require.Equal(t, map[string]int{"e00": 58, "e01": 1, "e02": 1}, taken, "both are warmed up")
+	require.Equal(t, map[string]int{"e00": 58, "e01": 1, "e02": 1}, sends, "both cold instances get requests")
 }
 
-func TestAPlaceComesBackIfTheInstanceDidNotGetTheRequest(t *testing.T) {
+func TestPlaceIsReleasedWhenRequestEndsOrIsNotDelivered(t *testing.T) {
 	for name, test := range map[string]struct {
-		end   func(d *Directory, now time.Time, choice Choice)
-		again time.Duration
+		end           func(d *Directory, now time.Time, choice Choice)
+		releasedAfter time.Duration
 	}{
 		"misdirected":   {func(d *Directory, _ time.Time, choice Choice) { d.Misdirected(choice) }, 0},
 		"answered":      {func(d *Directory, now time.Time, choice Choice) { d.ResponseStarted(now, choice) }, time.Second},
@@ -62,16 +62,16 @@
 		_, found = d.Pick(coldSettled, demand)
 		require.False(t, found)
 		test.end(d, coldSettled, choice)
-		if test.again > 0 {
-			_, found = d.Pick(coldSettled.Add(test.again-1), demand)
+		if test.releasedAfter > 0 {
+			_, found = d.Pick(coldSettled.Add(test.releasedAfter-1), demand)
 			require.False(t, found, name)
 		}
-		_, found = d.Pick(coldSettled.Add(test.again), demand)
+		_, found = d.Pick(coldSettled.Add(test.releasedAfter), demand)
 		require.True(t, found, name)
 	}
 }
 
-func TestASuspendedProcessDoesNotSendByAnOldChoice(t *testing.T) {
+func TestExpiredPermitPreventsSend(t *testing.T) {
 	d := coldDirectory(1, 1)
 	choice, _ := d.Pick(coldSettled, Demand{Service: "llm", Pinned: "e01"})
 	require.False(t, d.MaySend(coldSettled.Add(5*time.Second), choice))
@@ -86,20 +86,20 @@
 	require.NotNil(t, pool.pop("i"), "the connection serves the next request")
 }
 
-// The most urgent requests and long prompts take a warm instance that has room for them;
-// others share the cold ones.
-func TestWhoGoesToAColdInstance(t *testing.T) {
+// Requests of the highest priority and long prompts go to a warm instance that has capacity for
+// them; others are spread over the cold ones too.
+func TestColdInstanceSelection(t *testing.T) {
 	long := []PromptPart{{ID: "long", Tokens: 40_000}}
 	for name, test := range map[string]struct {
 		demand  Demand
 		running int
 		cold    bool
 	}{
-		"urgent, warm has room":     {Demand{Service: "llm", Generates: true}, 1, false},
-		"urgent, warm is full":      {Demand{Service: "llm", Generates: true}, 40, true},
-		"less urgent":               {Demand{Service: "llm", Generates: true, Priority: 9}, 1, true},
-		"less urgent, long prompt":  {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 0, false},
-		"warm is full, long prompt": {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 80, true},
+		"high priority, warm has capacity": {Demand{Service: "llm", Generates: true}, 1, false},
+		"high priority, warm is full":      {Demand{Service: "llm", Generates: true}, 40, true},
+		"low priority":                     {Demand{Service: "llm", Generates: true, Priority: 9}, 1, true},
+		"low priority, long prompt":        {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 0, false},
+		"warm is full, long prompt":        {Demand{Service: "llm", Generates: true, Priority: 9, PromptParts: long}, 80, true},
 	} {
 		d := coldDirectory(1, 100)
 		d.members["e00"].inFlight = test.running
@@ -109,15 +109,15 @@
 	}
 }
 
-func TestWhereOnlyColdInstancesServeTheNextPlaceIsKnown(t *testing.T) {
+func TestAllColdReportsNextFreePlace(t *testing.T) {
 	d := coldDirectory(1, 1)
-	_, _, only := d.AllCold(coldSettled, "llm")
-	require.False(t, only)
+	_, _, allCold := d.AllCold(coldSettled, "llm")
+	require.False(t, allCold)
 	all := engines(2)
 	all[0].Leaving, all[1].ColdFor = true, time.Hour
 	d.Update(coldSettled, all, false)
-	_, shared, only := d.AllCold(coldSettled, "llm")
-	require.True(t, shared && only)
+	_, shared, allCold := d.AllCold(coldSettled, "llm")
+	require.True(t, shared && allCold)
 	choice, _ := d.Pick(coldSettled, Demand{Service: "llm"})
 	d.MaySend(coldSettled, choice)
 	d.ResponseStarted(coldSettled.Add(100*time.Millisecond), choice)
@@ -125,12 +125,12 @@
 	require.True(t, shared)
 	require.Equal(t, 900*time.Millisecond, wait)
 	d.SetGateways(coldSettled, []coldstart.Gateway{{Name: "another", Zone: "z"}})
-	_, shared, only = d.AllCold(coldSettled, "llm")
-	require.True(t, only && !shared)
+	_, shared, allCold = d.AllCold(coldSettled, "llm")
+	require.True(t, allCold && !shared)
 }
 
 // An operator who ends an evacuation may have restarted the zone's instances.
-func TestAnEvacuatedZoneComesBackCold(t *testing.T) {
+func TestRestoredZoneCountsAsCold(t *testing.T) {
 	d := coldDirectory(0, 1)
 	d.SetEvacuated(coldSettled.Add(-time.Second), []string{"z"})
 	_, _, only := d.AllCold(coldSettled, "llm")
@@ -142,7 +142,7 @@
 	require.False(t, only)
 }
 
-// BenchmarkPickCold places requests before a large service of which half is cold.
+// BenchmarkPickCold measures placements on a large service of which half the instances are cold.
 func BenchmarkPickCold(b *testing.B) {
 	d := coldDirectory(0, 100)
 	all := engines(10_000)
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -1,6 +1,5 @@
-// Package backend knows the instances that run requests: which there are, how
-// loaded they are believed to be, and how a request is exchanged with one of them
-// over kept connections.
+// Package backend tracks the instances that run requests and their estimated load, chooses an
+// instance for each request, and exchanges requests with instances over pooled connections.
 package backend
 
 import (
@@ -15,82 +14,83 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// Instance is one running back end.
+// Instance is a running back end as listed in the registry.
 type Instance struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// Leaving instances finish what they have and get nothing new.
+	// Leaving is set on an instance that finishes its requests and accepts no new ones.
 	Leaving bool
-	// ColdFor is how much longer the instance is cold, as it said when it wrote its entry;
-	// 0 says that it is not.
+	// ColdFor is how much longer the instance is cold as of the time it wrote its entry; 0 if it is
+	// warm.
 	ColdFor time.Duration
-	// Born is when it started, in Unix milliseconds; 0 where it does not say. An instance may
-	// start again under its id, and then holds nothing of before.
+	// Born is the instance's start time in Unix milliseconds; 0 if unknown. An instance may restart
+	// under the same id and then has none of its earlier state.
 	Born uint64
 }
 
-// Changes are what became of the list of instances.
+// Changes are changes to the list of instances.
 type Changes struct {
-	// Snapshot says that Listed are all instances there are. Otherwise they are those that are new
-	// or whose entries changed, and Gone the ids of those whose entries went.
+	// Snapshot means that Listed contains all instances. Otherwise Listed contains the new and
+	// changed entries, and Removed the ids of deleted entries.
 	Snapshot bool
 	Listed   []Instance
 	Removed  []string
 }
 
 const (
-	// suspicionFirst and suspicionMost bound how long an instance is avoided after
-	// it could not be reached; the time doubles with each failure in a row.
-	suspicionFirst = 250 * time.Millisecond
-	suspicionMost  = 2 * time.Second
-	// failureHalfLife is how long a failure counts for the half.
+	// minAvoidTime and maxAvoidTime bound how long an instance is avoided after a failed
+	// connection; the time doubles with each consecutive failure.
+	minAvoidTime = 250 * time.Millisecond
+	maxAvoidTime = 2 * time.Second
+	// failureHalfLife is the half-life of the weight of a failure.
 	failureHalfLife = 2 * time.Second
-	// remoteLoadLimit is how long a report of load counts.
-	remoteLoadLimit = 1500 * time.Millisecond
+	// baseReportTTL is how long a load report is used; see Directory.reportTTL.
+	baseReportTTL = 1500 * time.Millisecond
 )
 
-// member is an instance with what this gateway believes of it.
+// member is an instance with this gateway's state and estimates for it.
 type member struct {
 	instance Instance
-	// inFlight are this gateway's own requests.
+	// inFlight is the number of this gateway's requests in flight.
 	inFlight int
-	// remote are the requests of all other gateways by the last reports.
-	remote int
-	// failures counts failures to reach it in a row; avoidUntil is set by them.
+	// remoteInFlight is the number of requests in flight of all other gateways, by their last
+	// reports.
+	remoteInFlight int
+	// failures counts consecutive connection failures, which set avoidUntil.
 	failures   int
 	avoidUntil time.Time
-	// failing counts the failures of late, halved every failureHalfLife since failingAt.
-	failing   float64
-	failingAt time.Time
-	// held are the ends of the times for which requests that failed at once count on;
-	// quickFailures is how many failed so in a row.
-	held          []time.Time
+	// decayedFailures is the number of recent failures, decayed by failureHalfLife up to decayedAt.
+	decayedFailures float64
+	decayedAt       time.Time
+	// failureHolds are the times until which requests that failed immediately still count as load;
+	// quickFailures is the number of consecutive failures of that kind.
+	failureHolds  []time.Time
 	quickFailures int
-	// unlistedUntil is set on an instance that the list lacks, while the list may be
-	// wrong: it serves on until then.
+	// unlistedUntil is set on an instance that is missing from a list that may be incomplete: it
+	// stays in service until then.
 	unlistedUntil time.Time
-	// evacuated is set while the instance's zone is to get nothing further.
+	// evacuated is set while the instance's zone gets no new requests.
 	evacuated bool
-	// sampled is the number of the last placement that looked at it.
-	sampled  uint64
-	cache    promptCache
-	slowness slowness
-	// key names the instance in its life among those of which all gateways learn.
+	// lastSample is the number of the last placement that considered the instance.
+	lastSample uint64
+	cache      promptCache
+	slowness   slowness
+	// key identifies this run of the instance in the speed statistics shared by all gateways.
 	key instancespeed.Key
 }
 
-// LoadSource is whose requests a report of load counts: those of one gateway of the
-// own zone, or of all gateways of another zone. One field is set.
+// LoadSource identifies whose requests a load report counts: those of one gateway of the same zone,
+// or of all gateways of another zone. Exactly one field is set.
 type LoadSource struct {
 	Gateway string
 	Zone    string
 }
 
-// remoteReport is what was last heard of a source's requests in flight.
-type remoteReport struct {
+// loadReport is the last report of a source's requests in flight, by instance.
+type loadReport struct {
 	loads map[string]int
 	at    time.Time
 }
@@ -98,113 +98,116 @@
 // Directory holds the instances of all services. It is safe for concurrent use.
 type Directory struct {
 	zone string
-	// network prices the network path to other zones and regions.
+	// network estimates the cost of the network path to other zones and regions.
 	network networkCosts
-	// severalRegions says that there are instances in other regions.
+	// severalRegions is set if there is more than one region.
 	severalRegions bool
-	// evacuated lists the zones whose instances are to get nothing further.
+	// evacuated lists the zones whose instances get no new requests.
 	evacuated map[string]bool
 	// connected reports whether there is an idle connection to an instance, idle lists the
-	// instances with one; nil knows of none.
+	// instances with one. Both are nil if connections are not considered.
 	connected func(instance string) bool
 	idle      func() []string
 
-	// placed is signalled when a request was placed.
+	// placed is signaled when a request was placed.
 	placed chan struct{}
 
 	mu      sync.Mutex
 	members map[string]*member
-	// unlisted holds the ids of members that the list lacks, loaded those on which requests of
-	// this gateway count: nothing that is done many times a second looks at all members.
+	// unlisted holds the ids of members that are missing from the list, loaded the members with
+	// requests of this gateway. They keep frequent operations from scanning all members.
 	unlisted map[string]bool
 	loaded   map[string]*member
-	// byService lists the members of each service in the order of their ids.
+	// byService holds the members of each service, sorted by id.
 	byService map[string][]*member
-	// near lists those of the own zone among them; regional those of the own region, where
-	// there are others.
-	near     map[string][]*member
-	regional map[string][]*member
-	reports  map[LoadSource]remoteReport
-	// ranLast is the instance that had a prompt part last, for the parts of this
-	// gateway's own requests.
-	ranLast map[string]string
-	// turn counts placements; seed is what they begin from at this gateway.
-	turn, seed uint64
-	// samples numbers the placements.
+	// sameZone holds those in the gateway's zone; sameRegion those in the gateway's region, if
+	// there are several regions.
+	sameZone   map[string][]*member
+	sameRegion map[string][]*member
+	reports    map[LoadSource]loadReport
+	// lastInstances maps a prompt part to the instance that last processed it for a request of this
+	// gateway.
+	lastInstances map[string]string
+	// sequence and seed are the state of the pseudorandom numbers of placements; the seed differs
+	// between gateways.
+	sequence, seed uint64
+	// samples counts the placements.
 	samples uint64
-	// inFlight counts this gateway's requests by service; sums holds the last sums of capacity.
+	// inFlight counts this gateway's requests by service; sums caches the capacity of services.
 	inFlight map[string]int
 	sums     map[string]capacitySum
-	// remotes holds the last sums of what other gateways report, intervals how often they do.
-	remotes   map[string]remoteSum
-	intervals reportIntervals
-	// paces is what is known of how fast each service works.
-	paces map[string]*pace
-	// cold bounds what goes to cold instances; nextColdChange is when the first of them becomes
+	// remoteSums caches the sums of the loads that other gateways report; intervals are the mean
+	// intervals between their reports.
+	remoteSums map[string]remoteSum
+	intervals  reportIntervals
+	// serviceSpeeds holds the estimated speed of each service.
+	serviceSpeeds map[string]*serviceSpeed
+	// cold limits the requests to cold instances; nextColdChange is when the first of them becomes
 	// warm. coldObserver may be nil.
 	cold           *coldstart.Limiter
 	nextColdChange time.Time
 	coldObserver   ColdObserver
-	// speeds is what all gateways observed of the instances, models what this one knows of each
-	// service; for requests that are placed by their expected end.
+	// speeds aggregates the speed statistics of all gateways by instance, models holds this
+	// gateway's model of each service, and spreads caches how much the speeds of a service's
+	// instances differ. They are used for requests that are placed by expected completion time.
 	speeds  *instancespeed.Aggregator
 	models  map[string]*instancespeed.Model
 	spreads map[string]speedSpread
 }
 
-// NewDirectory returns an empty directory of a gateway in the zone.
+// NewDirectory returns an empty directory for a gateway in the given zone.
 func NewDirectory(zone string) *Directory {
 	return &Directory{
 		zone: zone, placed: make(chan struct{}, 1), members: map[string]*member{}, unlisted: map[string]bool{}, loaded: map[string]*member{},
-		byService: map[string][]*member{}, near: map[string][]*member{}, regional: map[string][]*member{},
-		reports: map[LoadSource]remoteReport{}, ranLast: map[string]string{},
-		inFlight: map[string]int{}, sums: map[string]capacitySum{}, remotes: map[string]remoteSum{}, paces: map[string]*pace{}, network: networkCosts{zone: zone, roundTrips: map[string]*mean{}},
+		byService: map[string][]*member{}, sameZone: map[string][]*member{}, sameRegion: map[string][]*member{},
+		reports: map[LoadSource]loadReport{}, lastInstances: map[string]string{},
+		inFlight: map[string]int{}, sums: map[string]capacitySum{}, remoteSums: map[string]remoteSum{}, serviceSpeeds: map[string]*serviceSpeed{}, network: networkCosts{zone: zone, roundTrips: map[string]*mean{}},
 		cold:   coldstart.NewLimiter("", coldstart.Policy{}),
 		speeds: instancespeed.NewAggregator(), models: map[string]*instancespeed.Model{}, spreads: map[string]speedSpread{},
 	}
 }
 
-// UseConnections makes placements prefer instances with an idle connection. It must be
+// UseConnections makes placements prefer instances with an idle connection in the pool. It must be
 // called before the first Pick.
 func (d *Directory) UseConnections(pool *Pool) {
 	d.connected, d.idle = pool.isIdle, pool.idleInstances
 	pool.dialed = d.ObserveDial
 }
 
-// UsePlaces tells the directory which regions the zones belong to. It must be called before
-// the first Pick.
+// UsePlaces sets the regions of the zones. It must be called before the first Pick.
 func (d *Directory) UsePlaces(places place.Map) {
 	d.network.places = places
 	d.severalRegions = len(places.Regions()) > 1
 }
 
-// IsOtherRegion reports whether a zone is in another region than this gateway.
+// IsOtherRegion reports whether a zone is in a different region than this gateway.
 func (d *Directory) IsOtherRegion(zone string) bool {
 	return d.network.places.Distance(d.zone, zone) == place.OtherRegion
 }
 
-// SetSeed makes this gateway's choices among equal instances differ from those of
-// gateways with other names.
+// SetSeed seeds the choice among equal instances, so that it differs between gateways. It must be
+// called before the first Pick.
 func (d *Directory) SetSeed(node string) { d.seed = xxhash.Sum64String(node) }
 
-// ObserveDial tells in what time a connection to an instance came up.
+// ObserveDial adds the time that it took to open a connection to an instance.
 func (d *Directory) ObserveDial(instance Instance, took time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.network.dialed(instance.Zone, took)
+	d.network.observeDial(instance.Zone, took)
 }
 
-// isStaying reports whether the instance serves on, as far as its entry says.
-func (m *member) isStaying(now time.Time) bool {
+// isActive reports whether the instance is neither leaving nor removed, according to its entry.
+func (m *member) isActive(now time.Time) bool {
 	return !m.instance.Leaving && (m.unlistedUntil.IsZero() || now.Before(m.unlistedUntil))
 }
 
-// mayServe reports whether the instance may get new work.
+// mayServe reports whether the instance may get new requests.
 func (m *member) mayServe(now time.Time) bool {
-	return !m.evacuated && m.isStaying(now)
+	return !m.evacuated && m.isActive(now)
 }
 
-// Placed is signalled after a request was placed; one signal may stand for several.
+// Placed returns a channel that is signaled after requests were placed; one signal may stand for
+// several requests.
 func (d *Directory) Placed() <-chan struct{} { return d.placed }
 
 // Size returns the number of instances.
@@ -214,8 +217,8 @@
 	return len(d.members)
 }
 
-// Loads returns this gateway's requests in flight by instance, with those that failed at
-// once and count on, without zeros.
+// Loads returns this gateway's requests in flight by instance, including immediate failures that
+// still count as load. Instances without load are omitted.
 func (d *Directory) Loads(now time.Time) map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -231,8 +234,8 @@
 	return loads
 }
 
-// ZoneLoads returns the requests in flight of the own zone's gateways by instance, as
-// far as they are known here.
+// ZoneLoads returns the known requests in flight of all gateways of this gateway's zone, by
+// instance.
 func (d *Directory) ZoneLoads(now time.Time) map[string]int {
 	loads := d.Loads(now)
 	d.mu.Lock()
@@ -248,134 +251,136 @@
 	return loads
 }
 
-// SetRemoteLoads replaces a source's requests in flight, in place of what was heard of
-// it before. Reports that are too old are dropped.
+// SetRemoteLoads replaces the requests in flight reported by a source. Expired reports of all
+// sources are dropped.
 func (d *Directory) SetRemoteLoads(now time.Time, source LoadSource, loads map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if before, known := d.reports[source]; known {
-		d.intervals.heard(source, now.Sub(before.at))
+		d.intervals.observe(source, now.Sub(before.at))
 	}
-	d.addRemote(d.reports[source].loads, -1)
-	d.addRemote(loads, 1)
-	d.reports[source] = remoteReport{loads: loads, at: now}
+	d.adjustRemote(d.reports[source].loads, -1)
+	d.adjustRemote(loads, 1)
+	d.reports[source] = loadReport{loads: loads, at: now}
 	for name, report := range d.reports {
-		if now.Sub(report.at) > d.remoteLimit() {
-			d.addRemote(report.loads, -1)
+		if now.Sub(report.at) > d.reportTTL() {
+			d.adjustRemote(report.loads, -1)
 			delete(d.reports, name)
 		}
 	}
 }
 
-// remoteLimit is how long a report counts: the more sources there are, the more
-// seldom each one is heard of here.
-func (d *Directory) remoteLimit() time.Duration {
+// reportTTL returns how long a load report is used. It grows with the number of sources, because
+// each one is then heard from less often.
+func (d *Directory) reportTTL() time.Duration {
 	const sourcesAtOnce = 8
-	return remoteLoadLimit * time.Duration(1+len(d.reports)/sourcesAtOnce)
+	return baseReportTTL * time.Duration(1+len(d.reports)/sourcesAtOnce)
 }
 
-func (d *Directory) addRemote(loads map[string]int, sign int) {
+func (d *Directory) adjustRemote(loads map[string]int, sign int) {
 	for id, requests := range loads {
 		if known := d.members[id]; known != nil {
-			known.remote = max(0, known.remote+sign*requests)
+			known.remoteInFlight = max(0, known.remoteInFlight+sign*requests)
 		}
 	}
 }
 
-// Observe adds the figures of a request that its instance answered whole.
-func (d *Directory) Observe(now time.Time, choice Choice, seen Observation) {
+// Observe adds the measurements of a request whose response was complete.
+func (d *Directory) Observe(now time.Time, choice Choice, observed Observation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.chosen(choice)
+	known := d.memberOf(choice)
 	if known == nil {
 		return
 	}
 	if choice.byExpectedEnd {
-		d.learnSpeed(now, known, seen)
+		d.learnSpeed(now, known, observed)
 	}
-	slower, ok := d.paceOf(known.instance.Service).observe(seen, known.instance.Slots)
+	slower, ok := d.serviceSpeedOf(known.instance.Service).observe(observed, known.instance.Slots)
 	switch {
-	case ok && seen.Events > 0:
+	case ok && observed.Events > 0:
 		known.slowness.add(now, slower, slowStreamGain)
 	case ok:
 		known.slowness.add(now, slower, slowPlainGain)
 	}
 }
 
-// MeanTimeToFirstEvent returns how long streams of a service usually wait for their first event.
+// MeanTimeToFirstEvent returns the mean time to the first event of a service's streams.
 func (d *Directory) MeanTimeToFirstEvent(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Duration(d.paceOf(service).firstMS() * float64(time.Millisecond))
+	return time.Duration(d.serviceSpeedOf(service).firstEventMS() * float64(time.Millisecond))
 }
 
-// paceOf returns what is known of how fast a service works. The caller holds the lock.
-func (d *Directory) paceOf(service string) *pace {
-	known := d.paces[service]
+// serviceSpeedOf returns the estimated speed of a service. The caller must hold the lock.
+func (d *Directory) serviceSpeedOf(service string) *serviceSpeed {
+	known := d.serviceSpeeds[service]
 	if known == nil {
-		known = newPace()
-		d.paces[service] = known
+		known = newServiceSpeed()
+		d.serviceSpeeds[service] = known
 	}
 	return known
 }
 
-// Outcome is what is learned from the end of an exchange.
+// Outcome is what the end of an exchange says about its instance.
 type Outcome uint8
 
 const (
-	// Answered means that the instance spoke the protocol.
+	// Answered means that the instance sent a valid response.
 	Answered Outcome = iota + 1
-	// Unreachable means that no connection came up, or it went silent.
+	// Unreachable means that no connection could be opened, or that the instance stopped
+	// responding.
 	Unreachable
-	// Full means that the instance had no room.
+	// Full means that the instance refused the request for lack of capacity.
 	Full
-	// Failed means that it answered with a failure of its own, or broke its answer off.
+	// Failed means that the instance returned an error of its own or ended its response early.
 	Failed
-	// NotSent means that the request was not sent after all: it tells nothing of the instance.
+	// NotSent means that the request was not sent; it says nothing about the instance.
 	NotSent
 )
 
-// End takes a request off its instance, unless that is gone or has started again since.
-func (d *Directory) End(now time.Time, choice Choice, ended Outcome) {
+// End records the end of a request that Pick placed. It does nothing if the instance was removed or
+// has restarted since.
+func (d *Directory) End(now time.Time, choice Choice, outcome Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.chosen(choice)
+	known := d.memberOf(choice)
 	if known == nil {
 		return
 	}
 	known.inFlight--
 	d.inFlight[known.instance.Service]--
 	if choice.byExpectedEnd {
-		d.learnEnd(now, known, ended)
+		d.learnOutcome(now, known, outcome)
 	}
-	switch ended {
+	switch outcome {
 	case Answered:
-		known.answered()
+		known.resetFailures()
 	case Unreachable:
 		known.failures++
-		avoid := min(suspicionMost, suspicionFirst<<min(known.failures-1, 4))
+		avoid := min(maxAvoidTime, minAvoidTime<<min(known.failures-1, 4))
 		known.avoidUntil = now.Add(avoid)
 	case Full:
-		known.avoidUntil = now.Add(fullPause)
+		known.avoidUntil = now.Add(fullBackoff)
 	case Failed:
-		known.failing = known.recentFailures(now) + 1
-		known.failingAt = now
+		known.decayedFailures = known.recentFailures(now) + 1
+		known.decayedAt = now
 	}
 }
 
-// chosen returns the member of a choice, nil if it is gone or has started again since. The
-// caller holds the lock.
-func (d *Directory) chosen(choice Choice) *member {
+// memberOf returns the member of a choice, nil if it was removed or has restarted since. The caller
+// must hold the lock.
+func (d *Directory) memberOf(choice Choice) *member {
 	if known := d.members[choice.Instance.ID]; known == choice.member {
 		return known
 	}
 	return nil
 }
 
-// recentFailures returns the failures of late, the older the less.
+// recentFailures returns the number of recent failures, weighted by age.
 func (m *member) recentFailures(now time.Time) float64 {
-	if m.failing == 0 {
+	if m.decayedFailures == 0 {
 		return 0
 	}
-	return m.failing * math.Exp2(-now.Sub(m.failingAt).Seconds()/failureHalfLife.Seconds())
+	return m.decayedFailures * math.Exp2(-now.Sub(m.decayedAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/internal/backend/directory_test.go
+++ b/internal/backend/directory_test.go
@@ -20,31 +20,31 @@
 	return all
 }
 
-// choiceOf is the choice of an instance as it is known now.
+// choiceOf returns a choice of the instance's current member.
 func (d *Directory) choiceOf(id string) Choice {
 	return Choice{Instance: Instance{ID: id}, member: d.members[id]}
 }
 
 // Update replaces the list of instances.
-func (d *Directory) Update(now time.Time, instances []Instance, incomplete bool) (ended []string) {
+func (d *Directory) Update(now time.Time, instances []Instance, incomplete bool) (invalidated []string) {
 	return d.ApplyChanges(now, Changes{Snapshot: true, Listed: instances}, incomplete)
 }
 
-func TestAnIncompleteListTakesNoInstanceAway(t *testing.T) {
+func TestIncompleteListKeepsMissingInstances(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(3), false)
-	require.Empty(t, d.Update(start, nil, true), "entries lapsed while the source was lost")
+	require.Empty(t, d.Update(start, nil, true), "entries expired while the source was unavailable")
 	_, found := d.Pick(start.Add(time.Second), Demand{Service: "llm", Generates: true})
 	require.True(t, found)
-	_, found = d.Pick(start.Add(unlistedLife), Demand{Service: "llm", Generates: true})
-	require.False(t, found, "an instance that does not come back gets nothing more")
-	require.Len(t, d.Update(start.Add(unlistedLife), nil, false), 3)
+	_, found = d.Pick(start.Add(unlistedGracePeriod), Demand{Service: "llm", Generates: true})
+	require.False(t, found, "an instance that does not return gets no more requests")
+	require.Len(t, d.Update(start.Add(unlistedGracePeriod), nil, false), 3)
 }
 
-// The source may have been sound and only the way to it lost: an instance that left
-// then must get nothing new within two seconds of its entry's end, of which half a
-// second may pass until the list is read.
-func TestAnIncompleteListKeepsNoInstancePastTheBound(t *testing.T) {
+// The source may have been healthy and only unreachable: an instance that left during that time
+// must stop getting requests within two seconds of the end of its entry, of which half a second may
+// pass until the list is read.
+func TestIncompleteListDropsInstancesAfterGracePeriod(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(2), false)
 	const bound, reading = 2 * time.Second, 500 * time.Millisecond
@@ -56,13 +56,13 @@
 	}
 }
 
-func TestASoundListTakesInstancesAwayAtOnce(t *testing.T) {
+func TestCompleteListRemovesInstancesImmediately(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(3), false)
 	require.Equal(t, []string{"e02"}, d.Update(start, engines(2), false))
 }
 
-func TestALeavingInstanceGetsNothingEvenOnAnIncompleteList(t *testing.T) {
+func TestLeavingInstanceGetsNoRequestsDespiteIncompleteList(t *testing.T) {
 	d := NewDirectory("z")
 	leaving := engines(1)
 	leaving[0].Leaving = true
@@ -72,7 +72,7 @@
 	require.Equal(t, []string{"e00"}, d.Update(start, nil, true))
 }
 
-func TestPlacementSpreadsLoadAndKeepsToTheCache(t *testing.T) {
+func TestPlacementSpreadsLoadAndPrefersCachedPrompts(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(4), false)
 	counts := map[string]int{}
@@ -87,12 +87,12 @@
 	session := []PromptPart{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: 4000}}
 	first, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
 	again, _ := d.Pick(start, Demand{Service: "llm", Generates: true, PromptParts: session})
-	require.Equal(t, first.Instance.ID, again.Instance.ID, "4,500 tokens to read weigh more than one neighbour")
-	later, _ := d.Pick(start.Add(2*cacheLife), Demand{Service: "llm", Generates: true, PromptParts: session})
-	require.NotEqual(t, first.Instance.ID, later.Instance.ID, "what was not used lately is not believed to be there")
+	require.Equal(t, first.Instance.ID, again.Instance.ID, "reading 4,500 tokens costs more than one concurrent request")
+	later, _ := d.Pick(start.Add(2*cacheTTL), Demand{Service: "llm", Generates: true, PromptParts: session})
+	require.NotEqual(t, first.Instance.ID, later.Instance.ID, "prompts that were not used recently are assumed to be evicted")
 }
 
-func TestASuspectedInstanceIsAvoidedUntilOthersAreGone(t *testing.T) {
+func TestSuspectedInstanceIsUsedOnlyAsLastResort(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(2), false)
 	choice, _ := d.Pick(start, Demand{Service: "llm"})
@@ -107,7 +107,7 @@
 	require.Equal(t, choice.Instance.ID, last.Instance.ID)
 }
 
-func TestAnInstanceThatFailsOftenIsLeftAloneForAWhile(t *testing.T) {
+func TestFrequentlyFailingInstanceIsAvoidedTemporarily(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(2), false)
 	for range 3 {
@@ -123,7 +123,7 @@
 	require.Equal(t, "e00", choice.Instance.ID)
 }
 
-func TestRemoteLoadsReplaceEachOtherAndAge(t *testing.T) {
+func TestRemoteLoadsReplaceEarlierReportsAndExpire(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(1), false)
 	d.SetRemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 5, "unknown": 3})
@@ -131,12 +131,12 @@
 	d.SetRemoteLoads(start, LoadSource{Gateway: "g1"}, map[string]int{"e00": 1})
 	choice, _ := d.Pick(start, Demand{Service: "llm"})
 	require.Equal(t, 3, choice.Load)
-	d.SetRemoteLoads(start.Add(10*remoteLoadLimit), LoadSource{Gateway: "g2"}, map[string]int{"e00": 4})
+	d.SetRemoteLoads(start.Add(10*baseReportTTL), LoadSource{Gateway: "g2"}, map[string]int{"e00": 4})
 	choice, _ = d.Pick(start, Demand{Service: "llm"})
-	require.Equal(t, 5, choice.Load, "one own request and four of the gateway that still reports")
+	require.Equal(t, 5, choice.Load, "one request of this gateway and four of the gateway that still reports")
 }
 
-func TestAPlacementComparesABoundedSample(t *testing.T) {
+func TestPlacementComparesBoundedSample(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(500), false)
 	seen := map[string]bool{}
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestAnInstanceWithAConnectionIsPreferredUnlessItIsLoaded(t *testing.T) {
+func TestDirectoryPrefersIdleConnectionsUnlessLoaded(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(4), false)
 	d.connected = func(instance string) bool { return instance == "e02" }
@@ -174,13 +174,13 @@
 		d.Pick(start, Demand{Service: "llm"})
 	}
 	for id, load := range d.Loads(start) {
-		require.GreaterOrEqual(t, load, 10, "%s is left out although e02 is full", id)
+		require.GreaterOrEqual(t, load, 10, "%s is unused although e02 is full", id)
 	}
 }
 
-// A gateway with few requests among many instances once met each of them with a
-// connection of its own: one that was idle was seldom among those that it compared.
-func TestAGatewayKeepsToFewInstancesOfALargeService(t *testing.T) {
+// Guards against a gateway with few requests opening a connection to each of many instances, which
+// happened when an instance with an idle connection was rarely among the compared ones.
+func TestGatewayConcentratesOnFewInstancesOfLargeService(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(102), false)
 	idle := map[string]bool{}
@@ -192,14 +192,14 @@
 		d.End(start, choice, Answered)
 	}
 	require.Len(t, idle, 1)
-	for range 20 { // requests at the same time take further ones
+	for range 20 { // concurrent requests use further instances
 		choice, _ := d.Pick(start, Demand{Service: "llm"})
 		idle[choice.Instance.ID] = true
 	}
 	require.Greater(t, len(idle), 2)
 }
 
-func TestInstancesOfTheOwnZoneAreAlwaysCompared(t *testing.T) {
+func TestSameZoneInstancesAreAlwaysCandidates(t *testing.T) {
 	d := NewDirectory("z")
 	all := engines(102)
 	for i := range all {
@@ -214,8 +214,9 @@
 	}
 }
 
-// With 9 or 3 instances all equal requests once went to the same one, with 12 to two.
-func TestEqualInstancesGetEqualShares(t *testing.T) {
+// Guards against a skewed choice among equal instances: with 9 or 3 instances all requests went to
+// the same one, with 12 to two.
+func TestEqualInstancesGetEqualLoad(t *testing.T) {
 	for _, count := range []int{2, 3, 4, 9, 12, 17, 18, 34} {
 		firsts := map[string]bool{}
 		for gateway := range 20 {
@@ -223,8 +224,8 @@
 			d.SetSeed(fmt.Sprint("gateway-", gateway))
 			d.Update(start, engines(count), false)
 			counts := map[string]int{}
-			const each = 100
-			for request := range each * count {
+			const perInstance = 100
+			for request := range perInstance * count {
 				choice, _ := d.Pick(start, Demand{Service: "llm"})
 				d.End(start, choice, Answered)
 				counts[choice.Instance.ID]++
@@ -234,14 +235,14 @@
 			}
 			require.Len(t, counts, count)
 			for id, got := range counts {
-				require.InDelta(t, each, got, each/2, "%d instances, %s", count, id)
+				require.InDelta(t, perInstance, got, perInstance/2, "%d instances, %s", count, id)
 			}
 		}
-		require.Greater(t, len(firsts), 1, "gateways do not all begin with the same one")
+		require.Greater(t, len(firsts), 1, "gateways must not all start with the same instance")
 	}
 }
 
-func TestARequestMayBeBoundToOneInstance(t *testing.T) {
+func TestPinnedRequestGoesToItsInstanceOnly(t *testing.T) {
 	d := NewDirectory("z")
 	instances := engines(3)
 	d.Update(start, instances, false)
@@ -251,18 +252,18 @@
 	for range 20 {
 		choice, found := d.Pick(start, bound)
 		require.True(t, found)
-		require.Equal(t, "e01", choice.Instance.ID, "however loaded or suspected it is")
+		require.Equal(t, "e01", choice.Instance.ID, "regardless of load and suspicion")
 	}
 	bound.Exclude = []string{"e01"}
 	_, found := d.Pick(start, bound)
-	require.False(t, found, "it had no room a moment ago: the request waits for it")
+	require.False(t, found, "it just refused the request, which waits for it")
 	bound.Exclude = nil
 	instances[1].Leaving = true
 	d.Update(start, instances, false)
 	_, found = d.Pick(start, bound)
-	require.False(t, found, "one that leaves gets nothing new, and may be at work on the request")
+	require.False(t, found, "a leaving instance gets no new requests and may still run this one")
 	d.Update(start, append(instances[:1:1], instances[2:]...), false)
 	choice, found := d.Pick(start, bound)
 	require.True(t, found)
-	require.NotEqual(t, "e01", choice.Instance.ID, "it is gone")
+	require.NotEqual(t, "e01", choice.Instance.ID, "the pinned instance was removed")
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -17,91 +17,91 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is read. A
-	// larger one is written beside the reading, for an instance may answer early.
-	inlineBody = 2 << 10
-	// surplusLimit is how many answers to earlier requests are passed over.
-	surplusLimit = 3
+	// maxInlineBody is the size in bytes up to which a body is written before the response is read.
+	// A larger one is written concurrently, because an instance may respond early.
+	maxInlineBody = 2 << 10
+	// maxHeads is how many response heads are read to find the one that belongs to the request.
+	maxHeads = 3
 )
 
 // Call is one request to an instance.
 type Call struct {
 	Method string
-	// Target is the request target as the caller sent it.
+	// Target is the request target exactly as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// IDHeader names the header by which an answer is matched with its request.
+	// IDHeader names the header that matches a response with its request.
 	IDHeader string
-	// MaySend is asked once a connection is there, just before the request is sent; the
-	// request is given up if it says no. Nil says yes.
+	// MaySend is called after a connection was obtained, immediately before the request is sent; if
+	// it returns false the request is not sent. Nil always allows the send.
 	MaySend func() bool
-	// NewConnection asks for a new connection. A kept one may have fallen silent for good, which shows
-	// only by the answer that does not come: a request that lost one answer so goes on by a
-	// connection that was just made.
+	// NewConnection requires a new connection. A pooled one may be dead without any sign except the
+	// missing response, so a request that lost a response that way is retried on a new connection.
 	NewConnection bool
 }
 
-// Failure is an exchange without a usable answer.
+// Failure is an exchange without a usable response. It implements error.
 type Failure struct {
 	// Verdict says whether the request may have run.
 	Verdict verdict.Verdict
-	// Unreachable is set when no connection came up, or another instance has the address;
-	// Gone when the instance is known to have ended or to be cut off: connections are refused,
-	// another instance has the address, or its machine was found not to answer.
+	// Unreachable is set when no connection could be opened, or another instance has the address.
+	// InstanceDown is set when the instance is known to have ended or to be cut off: connections
+	// are refused, another instance has the address, or its machine does not respond.
 	Unreachable  bool
 	InstanceDown bool
-	// NotSent is set when this gateway gave the send up itself.
+	// NotSent is set when this gateway decided not to send the request.
 	NotSent bool
-	// Restriction is set when a rule about places leaves no instance for the request.
+	// Restriction is set when a placement rule leaves no instance for the request.
 	Restriction Restriction
 	Reason      string
-	// RetryAfter is when an instance may take the request; zero if that is not known.
+	// RetryAfter is the time after which an instance may accept the request; zero if unknown.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (f *Failure) Error() string { return f.Reason }
 
-// Answer is the head of an instance's answer. Finish or Discard must be called.
+// Answer is a response whose head has been read. Finish or Discard must be called.
 type Answer struct {
 	Response   *http.Response
 	Connection *connection
 
-	pool     *Pool
-	instance Instance
-	stop     func() bool
-	written  chan error
-	odd      bool
+	pool       *Pool
+	instance   Instance
+	stop       func() bool
+	sent       chan error
+	unexpected bool
 }
 
-// Do sends the call and reads the answer's head. The context's end closes the
-// connection, at which an instance stops its work.
+// Do sends the call and reads the head of the response. The connection is closed when the context
+// ends; instances stop their work when that happens.
 func (p *Pool) Do(ctx context.Context, instance Instance, call Call) (*Answer, *Failure) {
-	connection, err := p.take(ctx, instance, call.NewConnection)
+	connection, err := p.acquire(ctx, instance, call.NewConnection)
 	if err != nil {
 		return nil, &Failure{Verdict: verdict.NotRun, Unreachable: ctx.Err() == nil, InstanceDown: errors.Is(err, syscall.ECONNREFUSED), Reason: "connect: " + err.Error()}
 	}
 	if call.MaySend != nil && !call.MaySend() {
 		p.putBack(instance, connection)
-		return nil, &Failure{Verdict: verdict.NotRun, NotSent: true, Reason: "the permit to send to the instance ended before the send"}
+		return nil, &Failure{Verdict: verdict.NotRun, NotSent: true, Reason: "the send permit expired before the request was sent"}
 	}
-	answer := &Answer{Connection: connection, pool: p, instance: instance, written: make(chan error, 1)}
+	answer := &Answer{Connection: connection, pool: p, instance: instance, sent: make(chan error, 1)}
 	answer.stop = context.AfterFunc(ctx, func() { _ = connection.Close() })
 	if err := answer.send(call); err != nil {
-		answer.brokeOff(ctx)
+		answer.abort(ctx)
 		return nil, &Failure{Verdict: verdict.MayHaveRun, Reason: "send: " + err.Error()}
 	}
 	if err := answer.readHead(call); err != nil {
-		answer.brokeOff(ctx)
+		answer.abort(ctx)
 		return nil, &Failure{Verdict: verdict.MayHaveRun, Reason: "read: " + err.Error()}
 	}
 	return answer, nil
 }
 
-// brokeOff ends an exchange that the instance, not the caller, broke off.
-func (a *Answer) brokeOff(ctx context.Context) {
+// abort ends an exchange after a connection error. Unless the caller canceled it, the instance's
+// idle connections are closed too.
+func (a *Answer) abort(ctx context.Context) {
 	a.Discard()
 	if ctx.Err() == nil {
 		a.pool.closeIdle(a.instance.ID)
@@ -110,19 +110,19 @@
 
 func (a *Answer) send(call Call) error {
 	message := encode(call)
-	if len(call.Body) <= inlineBody {
+	if len(call.Body) <= maxInlineBody {
 		_, err := a.Connection.Write(message)
-		a.written <- nil
+		a.sent <- nil
 		return err
 	}
 	go func() {
 		_, err := a.Connection.Write(message)
-		a.written <- err
+		a.sent <- err
 	}()
 	return nil
 }
 
-// encode writes the request as it travels.
+// encode returns the request in HTTP/1.1 wire format.
 func encode(call Call) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(call.Body))
@@ -145,16 +145,16 @@
 	return b.Bytes()
 }
 
-// errNoID says that an answer cannot be matched with the request.
-var errNoID = errors.New("the answer does not name the request")
+// errIDMismatch is returned when no response matches the request.
+var errIDMismatch = errors.New("no response carries the id of the request")
 
-// readHead reads heads until one names this request. An answer to an earlier
-// request may come first; it belongs to nobody.
+// readHead reads response heads until one matches this request. Responses to earlier requests may
+// precede it and are discarded.
 func (a *Answer) readHead(call Call) error {
-	asked := &http.Request{Method: call.Method}
+	request := &http.Request{Method: call.Method}
 	id := call.Header.Get(call.IDHeader)
-	for range surplusLimit {
-		response, err := http.ReadResponse(a.Connection.reader, asked)
+	for range maxHeads {
+		response, err := http.ReadResponse(a.Connection.reader, request)
 		if err != nil {
 			return err
 		}
@@ -165,57 +165,57 @@
 			a.Response = response
 			return nil
 		}
-		a.odd = true
+		a.unexpected = true
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return errNoID // it ends with the connection: nothing can follow
+			return errIDMismatch // this body ends with the connection, so no further response follows
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return err
 		}
 	}
-	return errNoID
+	return errIDMismatch
 }
 
-// Body returns the reader behind the answer's head.
+// Body returns the reader of the response body.
 func (a *Answer) Body() io.Reader { return a.Response.Body }
 
-// Buffered returns a reader of the body for lines.
+// Buffered returns a buffered reader of the response body, for reading lines.
 func (a *Answer) Buffered() *bufio.Reader { return bufio.NewReaderSize(a.Response.Body, readBuffer) }
 
-// Framed reports whether the answer says itself where it ends.
+// Framed reports whether the response delimits its body by a length or by chunked encoding.
 func (a *Answer) Framed() bool {
 	return a.Response.ContentLength >= 0 || len(a.Response.TransferEncoding) > 0
 }
 
-// Finish ends an exchange whose body was read to its end, and keeps the connection
-// if nothing odd was seen on it.
+// Finish ends an exchange whose body was read to the end. The connection returns to the pool if its
+// state is certain.
 func (a *Answer) Finish() {
-	if !a.stop() || a.odd || a.Response.Close || !a.Framed() || a.Connection.reader.Buffered() > 0 || !a.wholeRequestRead() {
+	if !a.stop() || a.unexpected || a.Response.Close || !a.Framed() || a.Connection.reader.Buffered() > 0 || !a.requestSent() {
 		_ = a.Connection.Close()
 		return
 	}
-	a.pool.put(a.instance, a.Connection, idleTime(a.Response.Header))
+	a.pool.put(a.instance, a.Connection, keepAliveTimeout(a.Response.Header))
 }
 
-// wholeRequestRead reports whether the request was sent whole before the answer
-// ended.
-func (a *Answer) wholeRequestRead() bool {
+// requestSent reports whether the whole request had been written when the response ended.
+func (a *Answer) requestSent() bool {
 	select {
-	case err := <-a.written:
+	case err := <-a.sent:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// Discard closes the connection, at which the instance stops its work.
+// Discard closes the connection, which makes the instance stop its work.
 func (a *Answer) Discard() {
 	a.stop()
 	_ = a.Connection.Close()
 }
 
-// idleTime returns how long the connection may rest by the instance's word.
-func idleTime(header http.Header) time.Duration {
+// keepAliveTimeout returns how long the connection may stay idle according to the instance's
+// Keep-Alive header.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); name == "timeout" && err == nil {
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -16,16 +16,16 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// scripted is an instance that answers the requests of each connection by a script.
+// scripted is an instance whose responses are scripted.
 type scripted struct {
 	instance Instance
 	listener net.Listener
-	// requests are the heads and bodies as they came, by connection.
+	// requests receives the heads and bodies of requests, by connection.
 	requests chan string
 }
 
-// startScripted serves connections with the scripts in turn: each is called with
-// the number of the request on its connection.
+// startScripted starts an instance that calls the script for each request, with the number of the
+// request on its connection, until the script returns false.
 func startScripted(t *testing.T, script func(connection net.Conn, reader *bufio.Reader, number int) bool) *scripted {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -83,13 +83,13 @@
 	return string(body), nil
 }
 
-// newCounted returns a pool and a count of its connections.
-func newCounted() (*Pool, *int) {
+// newCountingPool returns a pool and the number of connections that it opened.
+func newCountingPool() (*Pool, *int) {
 	opened := 0
 	return NewPool(func() { opened++ }), &opened
 }
 
-func TestAConnectionIsKeptAndTheTargetUnchanged(t *testing.T) {
+func TestPoolReusesConnectionAndPreservesTarget(t *testing.T) {
 	lines := make(chan string, 10)
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, _ int) bool {
 		head, _ := r.Peek(20)
@@ -100,7 +100,7 @@
 		}
 		return ok
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	for number := range 3 {
 		body, failure := do(t, pool, s, callWith(fmt.Sprint(number), "x"))
 		require.Nil(t, failure)
@@ -110,7 +110,7 @@
 	require.Equal(t, 1, *opened)
 }
 
-func TestAnAnswerToAnEarlierRequestIsPassedOver(t *testing.T) {
+func TestResponseToEarlierRequestIsSkipped(t *testing.T) {
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, number int) bool {
 		id, _, ok := readRequest(r)
 		if ok && number == 1 {
@@ -118,15 +118,15 @@
 		}
 		return ok
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	body, failure := do(t, pool, s, callWith("mine", "x"))
 	require.Nil(t, failure)
 	require.Equal(t, "yours", body)
-	require.Empty(t, pool.idle["i"], "a connection on which something odd came is not kept")
+	require.Empty(t, pool.idle["i"], "a connection with an unexpected response is not reused")
 	require.Equal(t, 1, *opened)
 }
 
-func TestASurplusAnswerEndsItsConnection(t *testing.T) {
+func TestSurplusResponseClosesConnection(t *testing.T) {
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, _ int) bool {
 		id, _, ok := readRequest(r)
 		if ok {
@@ -134,7 +134,7 @@
 		}
 		return ok
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	for number := range 3 {
 		body, failure := do(t, pool, s, callWith(fmt.Sprint(number), "x"))
 		require.Nil(t, failure)
@@ -143,7 +143,7 @@
 	require.Equal(t, 3, *opened)
 }
 
-func TestBrokenAnswersMayHaveRun(t *testing.T) {
+func TestBrokenResponsesMayHaveRun(t *testing.T) {
 	broken := map[string]string{
 		"no answer":   "",
 		"no protocol": "garbage\r\n\r\n",
@@ -158,7 +158,7 @@
 				_, _ = io.WriteString(c, answer)
 				return false
 			})
-			pool, _ := newCounted()
+			pool, _ := newCountingPool()
 			_, failure := do(t, pool, s, callWith("mine", "x"))
 			require.NotNil(t, failure)
 			require.Equal(t, verdict.MayHaveRun, failure.Verdict)
@@ -167,31 +167,30 @@
 	}
 }
 
-func TestAnUnreachableInstanceDidNotRun(t *testing.T) {
+func TestUnreachableInstanceDidNotRun(t *testing.T) {
 	s := startScripted(t, func(net.Conn, *bufio.Reader, int) bool { return false })
 	_ = s.listener.Close()
-	pool, _ := newCounted()
+	pool, _ := newCountingPool()
 	_, failure := do(t, pool, s, callWith("mine", "x"))
 	require.NotNil(t, failure)
 	require.Equal(t, verdict.NotRun, failure.Verdict)
 	require.True(t, failure.Unreachable)
 }
 
-// An instance may answer before it has read a long body and read on later: the
-// connection must not carry another request, whose bytes would be taken for the
-// rest of the body.
-func TestAnEarlyAnswerToALongBodyEndsItsConnection(t *testing.T) {
+// An instance may respond before it has read a long body and keep reading: the connection must not
+// carry another request, because its bytes would be read as the rest of the body.
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, _ int) bool {
 		request, err := http.ReadRequest(r)
 		if err != nil {
 			return false
 		}
 		_, _ = io.WriteString(c, answerTo(request.Header.Get("Id"), "no", ""))
-		// It neither reads on nor closes: the writer is held up.
+		// It neither reads nor closes the connection, so the writer blocks.
 		<-t.Context().Done()
 		return false
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	long := strings.Repeat("x", 32<<20)
 	for number := range 2 {
 		body, failure := do(t, pool, s, callWith(fmt.Sprint(number), long))
@@ -201,28 +200,28 @@
 	require.Equal(t, 2, *opened)
 }
 
-func TestAConnectionThatEndedWhileItRestedIsNotUsed(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, _ int) bool {
 		id, _, ok := readRequest(r)
 		if ok {
 			_, _ = io.WriteString(c, answerTo(id, "last", ""))
 		}
-		return false // it closes without a word
+		return false // closes the connection without notice
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	_, failure := do(t, pool, s, callWith("1", "x"))
 	require.Nil(t, failure)
 	require.Eventually(t, func() bool {
 		pool.mu.Lock()
 		defer pool.mu.Unlock()
-		return len(pool.idle["i"]) == 1 && !quiet(pool.idle["i"][0].Conn)
+		return len(pool.idle["i"]) == 1 && !isReusable(pool.idle["i"][0].Conn)
 	}, 20*time.Second, time.Millisecond)
 	_, failure = do(t, pool, s, callWith("2", "x"))
 	require.Nil(t, failure)
 	require.Equal(t, 2, *opened)
 }
 
-func TestNoMoreConnectionsRestThanMay(t *testing.T) {
+func TestPoolLimitsIdleConnections(t *testing.T) {
 	s := startScripted(t, func(c net.Conn, r *bufio.Reader, _ int) bool {
 		id, _, ok := readRequest(r)
 		if ok {
@@ -231,7 +230,7 @@
 		return ok
 	})
 	s.instance.Service = "llm"
-	pool, _ := newCounted()
+	pool, _ := newCountingPool()
 	pool.SetIdleLimit("llm", 2)
 	var answers []*Answer
 	for number := range 5 {
@@ -247,24 +246,24 @@
 	require.Len(t, pool.idle["i"], 2)
 }
 
-func TestTheInstancesWordOnRestingIsKept(t *testing.T) {
-	require.Equal(t, 3*time.Second-idleMargin, idleTime(http.Header{"Keep-Alive": {"timeout=3, max=5"}}))
-	require.Equal(t, time.Duration(0), idleTime(http.Header{"Keep-Alive": {"timeout=0"}}))
-	require.Equal(t, idleDefault, idleTime(http.Header{}))
+func TestKeepAliveTimeout(t *testing.T) {
+	require.Equal(t, 3*time.Second-idleMargin, keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=3, max=5"}}))
+	require.Equal(t, time.Duration(0), keepAliveTimeout(http.Header{"Keep-Alive": {"timeout=0"}}))
+	require.Equal(t, idleDefault, keepAliveTimeout(http.Header{}))
 }
 
-// An instance that crashed resets each kept connection when it is used: only the first request
-// may have run, the next one finds that nobody listens.
-func TestAfterAResetNoKeptConnectionIsUsed(t *testing.T) {
-	const together = 3
-	arrived := make(chan struct{}, together)
+// A crashed instance resets each idle connection when it is used. Only the first request may have
+// run: all idle connections are closed then, and the next request gets a refused connection.
+func TestResetClosesAllIdleConnections(t *testing.T) {
+	const concurrent = 3
+	arrived := make(chan struct{}, concurrent)
 	release := make(chan struct{})
 	s := startScripted(t, func(connection net.Conn, reader *bufio.Reader, number int) bool {
 		id, _, ok := readRequest(reader)
 		if !ok {
 			return false
 		}
-		if number > 1 { // the machine does not know the connection any more
+		if number > 1 { // the restarted machine does not know the connection
 			_ = connection.(*net.TCPConn).SetLinger(0)
 			return false
 		}
@@ -274,15 +273,15 @@
 		return true
 	})
 	pool := NewPool(func() {})
-	done := make(chan *Failure, together)
-	for number := range together {
+	done := make(chan *Failure, concurrent)
+	for number := range concurrent {
 		go func() { _, failure := do(t, pool, s, callWith(fmt.Sprint(number), "")); done <- failure }()
 	}
-	for range together {
+	for range concurrent {
 		<-arrived
 	}
 	close(release)
-	for range together {
+	for range concurrent {
 		require.Nil(t, <-done)
 	}
 	_ = s.listener.Close()
@@ -292,18 +291,19 @@
 	require.Equal(t, verdict.NotRun, failure.Verdict)
 }
 
-// A kept connection may have fallen silent: what lost an answer goes on by one that was just made.
-func TestAFreshCallUsesNoKeptConnection(t *testing.T) {
+// An idle connection may be dead without any sign: a request that lost a response is retried on a
+// new connection.
+func TestCallWithNewConnectionSkipsPool(t *testing.T) {
 	s := startScripted(t, func(connection net.Conn, reader *bufio.Reader, number int) bool {
 		id, _, ok := readRequest(reader)
 		if !ok || number > 1 {
-			<-t.Context().Done() // every connection is silent from its second request on
+			<-t.Context().Done() // every connection stops responding at its second request
 			return false
 		}
 		_, _ = connection.Write([]byte(answerTo(id, "x", "")))
 		return true
 	})
-	pool, opened := newCounted()
+	pool, opened := newCountingPool()
 	for number := range 3 {
 		call := callWith(fmt.Sprint(number), "")
 		call.NewConnection = number > 0
--- a/internal/backend/expectedend_test.go
+++ b/internal/backend/expectedend_test.go
@@ -18,22 +18,22 @@
 	"swiftbank.dev/swiftbank/internal/tally"
 )
 
-// The replayed fleet: engines that each run a batch, before gateways in three zones whose reports
-// are late, lost and doubled.
+// The simulated fleet: engines that each run a batch, and gateways in three zones whose reports are
+// delayed, lost and duplicated.
 const (
 	replayedEngines = 24
 	replayedSlots   = 6
 	replayedZones   = 3
 	replayedFor     = 9 * time.Second
 	idleTurn        = 120 * time.Millisecond
-	// contention is the time that each other request adds to a turn, as a part of an idle one.
+	// contention is the time that each other request adds to a turn, as a fraction of an idle turn.
 	contention    = 0.3
 	reportEvery   = 50 * time.Millisecond
 	reportEntries = 24
 	replayedEpoch = 1000
 )
 
-// fleet is a replay of one load.
+// fleet simulates one load.
 type fleet struct {
 	random   *rand.Rand
 	now      time.Time
@@ -43,7 +43,7 @@
 	gateways []*backend.Directory
 	running  []int
 	waiting  [][]func()
-	// slowness returns by how many times an engine is slower than usual at a time of the replay.
+	// slowness returns by what factor an engine is slower than usual at a time of the simulation.
 	slowness func(engine int, at time.Duration) float64
 	took     []float64
 }
@@ -73,11 +73,11 @@
 	heap.Push(&f.events, fleetEvent{at: f.now.Add(wait), order: f.ordered, run: run})
 }
 
-// placer chooses an engine for a turn that came to a gateway. It is told of the first event of the
-// answer, and of its end.
+// placer chooses an engine for a turn that arrives at a gateway. It returns callbacks for the first
+// event of the response and for its end.
 type placer func(f *fleet, gateway int) (engine int, begun func(), ended func(first, took time.Duration))
 
-// newFleet returns a fleet through whose gateways turns are to come.
+// newFleet returns a fleet with scheduled turns and reports.
 func newFleet(seed uint64, gateways int, perSecond float64, slowness func(int, time.Duration) float64, place placer) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 0)), now: time.Unix(replayedEpoch, 0), start: time.Unix(replayedEpoch, 0),
@@ -93,7 +93,7 @@
 	return f
 }
 
-// newGateway returns what a gateway knows at its start.
+// newGateway returns a directory as a gateway has it at its start.
 func newGateway(now time.Time, number int) *backend.Directory {
 	var listed []backend.Instance
 	for i := range replayedEngines {
@@ -105,7 +105,7 @@
 	return directory
 }
 
-// run plays the turns up to a time.
+// run processes events up to a time.
 func (f *fleet) run(until time.Duration) {
 	for len(f.events) > 0 && f.now.Before(f.start.Add(until)) {
 		next := heap.Pop(&f.events).(fleetEvent)
@@ -114,8 +114,8 @@
 	}
 }
 
-// replayFleet plays turns through gateways and returns the mean and the 99th percentile of their
-// times in milliseconds.
+// replayFleet simulates turns through the gateways and returns the mean and the 99th percentile of
+// their durations in milliseconds.
 func replayFleet(seed uint64, gateways int, perSecond float64, slowness func(int, time.Duration) float64, place placer) (mean, p99 float64) {
 	f := newFleet(seed, gateways, perSecond, slowness, place)
 	f.run(replayedFor)
@@ -128,7 +128,7 @@
 
 func zoneOf(number int) string { return fmt.Sprint("z", number%replayedZones) }
 
-// report tells two gateways of the own zone and one of another zone what a gateway knows.
+// report sends a gateway's reports to two gateways of its own zone and one of another zone.
 func (f *fleet) report(gateway, number int) {
 	version := tally.Version{Started: 1, Number: uint64(number + 1)}
 	from := f.gateways[gateway]
@@ -145,7 +145,7 @@
 	f.after(reportEvery, func() { f.report(gateway, number+1) })
 }
 
-// deliver loses one report in ten, doubles one in ten, and lets all come late and out of order.
+// deliver loses one report in ten, duplicates one in ten, and delays and reorders all of them.
 func (f *fleet) deliver(to int, gateway, zone string, version tally.Version, loads map[string]int, speeds []instancespeed.Entry) {
 	const latest = 60 * time.Millisecond
 	for range []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 2}[f.random.IntN(10)] {
@@ -184,30 +184,30 @@
 	f.waiting[engine] = append(f.waiting[engine], begin)
 }
 
-// byDirectory places as gateways do.
+// byDirectory places turns as gateways do.
 func byDirectory(byExpectedEnd bool) placer {
 	return func(f *fleet, gateway int) (int, func(), func(first, took time.Duration)) {
 		directory := f.gateways[gateway]
 		choice, _ := directory.Pick(f.now, backend.Demand{Service: "s", Generates: true, ByExpectedEnd: byExpectedEnd, DiscountOldReports: true})
 		engine, _ := strconv.Atoi(choice.Instance.ID)
-		silent := true
-		if sign := directory.ExpectResponse(f.now, choice, true); sign.OverdueAfter > 0 {
+		noResponse := true
+		if expectation := directory.ExpectResponse(f.now, choice, true); expectation.OverdueAfter > 0 {
 			for _, times := range []float64{1, 2, 4} {
-				f.after(time.Duration(times)*sign.OverdueAfter, func() {
-					if silent {
-						directory.ObserveOverdue(f.now, choice, sign, times)
+				f.after(time.Duration(times)*expectation.OverdueAfter, func() {
+					if noResponse {
+						directory.ObserveOverdue(f.now, choice, expectation, times)
 					}
 				})
 			}
 		}
-		return engine, func() { silent = false }, func(first, took time.Duration) {
+		return engine, func() { noResponse = false }, func(first, took time.Duration) {
 			directory.End(f.now, choice, backend.Answered)
 			directory.Observe(f.now, choice, backend.Observation{Kind: "r", Load: choice.Load, TimeToFirstEvent: first, Duration: took, Events: 5})
 		}
 	}
 }
 
-// omniscient places by what is true at the moment.
+// omniscient places turns using the true state of all engines.
 func omniscient(f *fleet, _ int) (int, func(), func(first, took time.Duration)) {
 	best, least := 0, math.Inf(1)
 	first := f.random.IntN(replayedEngines)
@@ -226,7 +226,7 @@
 	return best, func() {}, func(time.Duration, time.Duration) {}
 }
 
-// unevenLoads are loads on engines of several speeds.
+// unevenLoads are loads on engines of different speeds.
 var unevenLoads = []struct {
 	name      string
 	equal     bool
@@ -250,22 +250,22 @@
 	}},
 }
 
-// threeSpeeds are those of a third of the engines each.
+// threeSpeeds returns a slowness that takes one of three values, each for a third of the engines.
 func threeSpeeds(engine int, _ time.Duration) float64 {
 	return []float64{1 / 0.7, 1 / 0.7, 1 / 1.7}[engine%3]
 }
 
-// What gateways that see one another's reports late may lose against a dispatcher that knows
-// everything: the mean time of a turn stays within the allowance that callers' objectives leave
-// over idle time, and the slowest turns stay within a second such step.
+// Allowed loss of gateways with delayed reports against a dispatcher with full knowledge: the
+// mean duration of a turn stays within the margin over idle time that callers' objectives
+// leave, and the slowest turns stay within about the square of that factor.
 const (
 	allowedMean = 1.6
 	allowedP99  = 2.5
-	// chance is how far two placements that are equally good may lie apart in one replay.
-	chance = 1.05
+	// tolerance is the factor by which two equally good placements may differ in one simulation.
+	tolerance = 1.05
 )
 
-func TestUnevenInstancesAreUsedWell(t *testing.T) {
+func TestPlacementOnUnevenInstancesStaysNearOptimal(t *testing.T) {
 	for _, gateways := range []int{8, 50} {
 		for _, load := range unevenLoads {
 			t.Run(fmt.Sprintf("%d gateways, %s", gateways, load.name), func(t *testing.T) {
@@ -277,17 +277,17 @@
 				require.Less(t, mean, allowedMean*bestMean, "the mean time")
 				require.Less(t, p99, allowedP99*bestP99, "the slowest of a hundred")
 				if load.equal {
-					require.Less(t, mean, chance*beforeMean, "not worse than without speeds")
+					require.Less(t, mean, tolerance*beforeMean, "not worse than without speeds")
 				} else {
 					require.Less(t, mean, beforeMean, "better than without speeds")
 				}
-				require.Less(t, p99, chance*beforeP99, "the slowest are not worse than without speeds")
+				require.Less(t, p99, tolerance*beforeP99, "the slowest are not worse than without speeds")
 			})
 		}
 	}
 }
 
-func TestNothingIsToldWhereSpeedsAreNotUsed(t *testing.T) {
+func TestSpeedReportIsEmptyWithoutSpeedPlacement(t *testing.T) {
 	f := &fleet{now: time.Unix(replayedEpoch, 0)}
 	directory := backend.NewDirectory("z0")
 	directory.ApplyChanges(f.now, backend.Changes{Snapshot: true, Listed: []backend.Instance{{ID: "0", Service: "s", Zone: "z0", Slots: replayedSlots}}}, false)
@@ -302,8 +302,9 @@
 	require.Len(t, directory.SpeedReport(f.now, false, reportEntries), 1)
 }
 
-// A program whose prompt one instance holds, before two instances of which others report.
-func TestAPromptIsNotLeftForWhatOneReportSays(t *testing.T) {
+// A program's prompt is cached at one of two instances. A single load report must not move the
+// program; the holder's slowness must.
+func TestCachedPromptOutweighsSingleLoadReport(t *testing.T) {
 	now := time.Unix(replayedEpoch, 0)
 	directory := backend.NewDirectory("z0")
 	directory.ApplyChanges(now, backend.Changes{Snapshot: true, Listed: []backend.Instance{
@@ -330,30 +331,31 @@
 	require.Equal(t, "held", turn(), "one report")
 	slow := instancespeed.Statistics{Stable: instancespeed.WeightedSum{Weight: 400, Sum: 600}}
 	directory.ApplySpeedReport(now, tally.Source{Gateway: "g"}, tally.Version{Number: 1}, []instancespeed.Entry{{Key: instancespeed.KeyOf("held", "", 0), Statistics: slow}})
-	require.Equal(t, "other", turn(), "the holder is known to be slow")
+	require.Equal(t, "other", turn(), "the instance that holds the prompt is slow")
 }
 
-func TestAGatewayThatStartsKnowsTheFleetsViewWithinASecond(t *testing.T) {
+func TestNewGatewayLearnsSpeedsWithinOneSecond(t *testing.T) {
 	const started, known = 6 * time.Second, 7 * time.Second
 	f := newFleet(1, 50, 240, threeSpeeds, byDirectory(true))
 	f.run(started)
 	f.gateways[0] = newGateway(f.now, 0)
 	f.run(known)
-	believed := map[string]float64{}
+	estimated := map[string]float64{}
 	for _, speed := range f.gateways[0].Speeds(f.now) {
-		believed[speed.Instance] = speed.Estimate.Slowdown()
+		estimated[speed.Instance] = speed.Estimate.Slowdown()
 	}
-	right := 0
+	correct := 0
 	for engine := range replayedEngines {
-		if slow := threeSpeeds(engine, 0) > 1; slow == (believed[fmt.Sprint(engine)] > 1) {
-			right++
+		if slow := threeSpeeds(engine, 0) > 1; slow == (estimated[fmt.Sprint(engine)] > 1) {
+			correct++
 		}
 	}
-	require.GreaterOrEqual(t, right, replayedEngines*9/10)
+	require.GreaterOrEqual(t, correct, replayedEngines*9/10)
 }
 
-// told returns a gateway that heard of so many observations of each engine, of speeds as given.
-func told(weight float64, slower func(engine int) float64) *backend.Directory {
+// withReportedSpeeds returns a gateway that received a report with the given number of observations
+// and slowness of each engine.
+func withReportedSpeeds(weight float64, slower func(engine int) float64) *backend.Directory {
 	now := time.Unix(replayedEpoch, 0)
 	directory := newGateway(now, 0)
 	var entries []instancespeed.Entry
@@ -365,21 +367,21 @@
 	return directory
 }
 
-// chosen returns where a gateway places a row of turns.
-func chosen(directory *backend.Directory, byExpectedEnd bool) []string {
-	var row []string
+// placements returns the instances that a gateway chooses for a series of turns.
+func placements(directory *backend.Directory, byExpectedEnd bool) []string {
+	var ids []string
 	for range replayedEngines {
 		choice, _ := directory.Pick(time.Unix(replayedEpoch, 0), backend.Demand{Service: "s", Generates: true, DiscountOldReports: true, ByExpectedEnd: byExpectedEnd})
-		row = append(row, choice.Instance.ID)
+		ids = append(ids, choice.Instance.ID)
 	}
-	return row
+	return ids
 }
 
-func TestInstancesKnownToBeAlikeArePlacedAsWithoutSpeeds(t *testing.T) {
-	alike := func(engine int) float64 { return 0.1 * float64(engine%2) }
+func TestHomogeneousInstancesArePlacedWithoutSpeeds(t *testing.T) {
+	homogeneous := func(engine int) float64 { return 0.1 * float64(engine%2) }
 	uneven := func(engine int) float64 { return float64(engine % 2) }
-	before := chosen(told(0, alike), false)
-	require.Equal(t, before, chosen(told(100, alike), true))
-	require.NotEqual(t, before, chosen(told(2, alike), true), "too little is known")
-	require.NotEqual(t, before, chosen(told(100, uneven), true))
+	before := placements(withReportedSpeeds(0, homogeneous), false)
+	require.Equal(t, before, placements(withReportedSpeeds(100, homogeneous), true))
+	require.NotEqual(t, before, placements(withReportedSpeeds(2, homogeneous), true), "too little is known")
+	require.NotEqual(t, before, placements(withReportedSpeeds(100, uneven), true))
 }
--- a/internal/backend/failures.go
+++ b/internal/backend/failures.go
@@ -3,53 +3,54 @@
 import "time"
 
 const (
-	// maxHold bounds how long a request that failed at once still counts as load: as long as
-	// an unreachable instance is avoided, after which it must be tried again.
-	maxHold = suspicionMost
-	// maxDoublings keeps the hold time from overflowing; maxHold is reached well before.
-	maxDoublings = 8
+	// maxHold bounds how long a request that failed immediately still counts as load. It equals the
+	// longest time for which an unreachable instance is avoided, after which the instance must be
+	// tried again.
+	maxHold = maxAvoidTime
+	// maxHoldDoublings prevents overflow of the hold time; maxHold is reached well before.
+	maxHoldDoublings = 8
 )
 
-// EndFailed takes a request that failed off an instance. A request that failed sooner than
-// requests of its service usually take counts on for as long as a served one, and twice as
-// long with each such failure in a row: an instance that fails at once would otherwise seem
-// to be idle and draw more requests than sound ones. Answers that are lost after they were
-// made, or come late, have counted for their time already and add nothing.
-func (d *Directory) EndFailed(now time.Time, choice Choice, ended Outcome) {
-	d.End(now, choice, ended)
+// EndFailed records the end of a failed request. A request that failed in less than the mean
+// duration of its service keeps counting as load for that duration, doubled with each consecutive
+// failure of this kind: an instance that fails immediately would otherwise seem idle and attract
+// more requests than healthy ones. Requests that failed later have already counted for their time
+// and add nothing.
+func (d *Directory) EndFailed(now time.Time, choice Choice, outcome Outcome) {
+	d.End(now, choice, outcome)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.chosen(choice)
-	if known == nil || ended != Failed && ended != Unreachable {
+	known := d.memberOf(choice)
+	if known == nil || outcome != Failed && outcome != Unreachable {
 		return
 	}
-	usual := d.paceOf(known.instance.Service).duration.asTime(priorDuration)
+	usual := d.serviceSpeedOf(known.instance.Service).duration.durationOr(priorDurationMS)
 	if now.Sub(choice.PickedAt) >= usual {
 		return
 	}
-	held := min(maxHold, usual<<min(known.quickFailures, maxDoublings))
+	hold := min(maxHold, usual<<min(known.quickFailures, maxHoldDoublings))
 	known.quickFailures++
-	known.held = append(known.held, choice.PickedAt.Add(held))
+	known.failureHolds = append(known.failureHolds, choice.PickedAt.Add(hold))
 	d.loaded[choice.Instance.ID] = known
 }
 
 // heldFailures returns how many failed requests still count as load on the instance.
 func (m *member) heldFailures(now time.Time) int {
-	kept := m.held[:0]
-	for _, until := range m.held {
+	active := m.failureHolds[:0]
+	for _, until := range m.failureHolds {
 		if now.Before(until) {
-			kept = append(kept, until)
+			active = append(active, until)
 		}
 	}
-	m.held = kept
-	return len(kept)
+	m.failureHolds = active
+	return len(active)
 }
 
-// answered forgets the failures before an answer.
-func (m *member) answered() {
+// resetFailures clears the failure state after a successful response.
+func (m *member) resetFailures() {
 	m.failures, m.quickFailures = 0, 0
-	m.held = m.held[:0]
+	m.failureHolds = m.failureHolds[:0]
 }
 
-// load returns how many requests are believed to be on the instance.
-func (m *member) load(now time.Time) int { return m.inFlight + m.heldFailures(now) + m.remote }
+// load returns the estimated number of requests on the instance.
+func (m *member) load(now time.Time) int { return m.inFlight + m.heldFailures(now) + m.remoteInFlight }
--- a/internal/backend/failures_test.go
+++ b/internal/backend/failures_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFailuresAtOnceCountOnUntilTheInstanceAnswers(t *testing.T) {
+func TestImmediateFailuresCountAsLoadUntilSuccess(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
--- a/internal/backend/learnedspeed.go
+++ b/internal/backend/learnedspeed.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// streamWeight and plainWeight are how much a request tells of its instance's speed: the
-	// pause between two events varies little from stream to stream, the time of whole answers
-	// much.
+	// streamWeight and plainWeight are the weights of a request in its instance's speed: the
+	// interval between two events varies little from stream to stream, the duration of whole
+	// responses varies much.
 	streamWeight = 1.0
 	plainWeight  = 0.3
-	// overdueFactor times the time expected of an instance is how long a request may go without a
-	// sign of life before that counts against the instance; a wait of overdueLeast (ms) never does.
+	// overdueFactor is the multiple of the instance's expected time after which a request without a
+	// response counts against the instance; a wait shorter than minOverdueMS never does.
 	overdueFactor = 2.5
-	overdueLeast  = 20.0
+	minOverdueMS  = 20.0
 )
 
-// learnSpeed adds a request to what is known of its instance's speed. The caller holds the lock.
-func (d *Directory) learnSpeed(now time.Time, known *member, seen Observation) {
-	unit, ok := seen.unit()
+// learnSpeed adds a request to the speed statistics of its instance. The caller must hold the lock.
+func (d *Directory) learnSpeed(now time.Time, known *member, observed Observation) {
+	unit, ok := observed.unitTimeMS()
 	if !ok {
 		return
 	}
 	weight := plainWeight
-	if seen.Events > 0 {
+	if observed.Events > 0 {
 		weight = streamWeight
 	}
-	slower := d.modelOf(known.instance.Service).Observe(now, instancespeed.Sample{
-		Kind: seen.Kind, UnitTime: time.Duration(unit * float64(time.Millisecond)), Duration: seen.Duration,
-		Load: seen.Load, Slots: known.instance.Slots, Estimate: d.speeds.Estimate(now, known.key),
+	logSlowdown := d.modelOf(known.instance.Service).Observe(now, instancespeed.Sample{
+		Kind: observed.Kind, UnitTime: time.Duration(unit * float64(time.Millisecond)), Duration: observed.Duration,
+		Load: observed.Load, Slots: known.instance.Slots, Estimate: d.speeds.Estimate(now, known.key),
 	})
-	d.speeds.Observe(now, known.key, slower, weight)
+	d.speeds.Observe(now, known.key, logSlowdown, weight)
 }
 
-// learnEnd adds a failure or a refusal to what is known of an instance. The caller holds the lock.
-func (d *Directory) learnEnd(now time.Time, known *member, ended Outcome) {
-	switch ended {
+// learnOutcome adds a failure or a refusal to the statistics of an instance. The caller must hold
+// the lock.
+func (d *Directory) learnOutcome(now time.Time, known *member, outcome Outcome) {
+	switch outcome {
 	case Failed, Unreachable:
 		d.speeds.ObserveFailure(now, known.key)
 	case Full:
@@ -49,83 +50,84 @@
 	}
 }
 
-// ResponseExpectation is the first sign of life that is expected of a request's instance: its first event, or its
-// answer if it is no stream.
+// ResponseExpectation is the expected first response of an instance to a request: the first event
+// of a stream, or the whole response otherwise.
 type ResponseExpectation struct {
-	// OverdueAfter is how long it may take before that tells that the instance is slow; 0 where
-	// instances' speeds are not learned.
+	// OverdueAfter is the time after which a missing response shows that the instance is slow; 0 if
+	// instance speeds are not learned for the request.
 	OverdueAfter time.Duration
-	// slower is what the expectation rests on, weight how much it tells if it fails.
-	slower, weight float64
+	// logSlowdown is the instance's slowdown that the expectation assumes, weight the weight of the
+	// observation if the response is overdue.
+	logSlowdown, weight float64
 }
 
-// ExpectResponse returns the sign of life that is expected of a request that goes out now.
+// ExpectResponse returns the expected first response to a request that is sent now.
 func (d *Directory) ExpectResponse(now time.Time, choice Choice, streams bool) ResponseExpectation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.chosen(choice)
+	known := d.memberOf(choice)
 	if known == nil || !choice.byExpectedEnd {
 		return ResponseExpectation{}
 	}
 	service := known.instance.Service
-	base, growth := d.usualTimes(service, known.instance.Slots)
-	sign := ResponseExpectation{slower: max(0, d.speeds.Estimate(now, known.key).LogSlowdown()), weight: plainWeight}
+	base, growth := d.baselineTimes(service, known.instance.Slots)
+	expectation := ResponseExpectation{logSlowdown: max(0, d.speeds.Estimate(now, known.key).LogSlowdown()), weight: plainWeight}
 	expected := base + growth*float64(choice.Load)
 	if streams {
-		expected = d.paceOf(service).firstMS() + float64(choice.UncachedTokens)*d.paceOf(service).readingMS()
-		sign.weight = streamWeight
+		expected = d.serviceSpeedOf(service).firstEventMS() + float64(choice.UncachedTokens)*d.serviceSpeedOf(service).tokenMS()
+		expectation.weight = streamWeight
 	}
-	within := max(overdueLeast, overdueFactor*expected*math.Exp(sign.slower))
-	sign.OverdueAfter = time.Duration(within * float64(time.Millisecond))
-	return sign
+	within := max(minOverdueMS, overdueFactor*expected*math.Exp(expectation.logSlowdown))
+	expectation.OverdueAfter = time.Duration(within * float64(time.Millisecond))
+	return expectation
 }
 
-// ObserveOverdue notes that a request has been without a sign of life for so many times as long as one is
-// expected within: gateways must not wait for its end to learn that the instance is slow at the
-// moment.
-func (d *Directory) ObserveOverdue(now time.Time, choice Choice, sign ResponseExpectation, times float64) {
+// ObserveOverdue records that a request has had no response for the given multiple of OverdueAfter.
+// Without it gateways would learn only from the end of the request that the instance is currently
+// slow.
+func (d *Directory) ObserveOverdue(now time.Time, choice Choice, expectation ResponseExpectation, multiple float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if known := d.chosen(choice); known != nil {
-		d.speeds.ObserveOverdue(now, known.key, sign.slower+math.Log(overdueFactor*times), sign.weight)
+	if known := d.memberOf(choice); known != nil {
+		d.speeds.ObserveOverdue(now, known.key, expectation.logSlowdown+math.Log(overdueFactor*multiple), expectation.weight)
 	}
 }
 
-// SpeedSources returns how many other sources tell of the instances' speeds.
+// SpeedSources returns the number of other gateways and zones that report instance speeds.
 func (d *Directory) SpeedSources() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.speeds.SourceCount()
 }
 
-// SpeedReport returns what this gateway tells of the instances' speeds, or what its whole zone has
-// observed.
-func (d *Directory) SpeedReport(now time.Time, wholeZone bool, most int) []instancespeed.Entry {
+// SpeedReport returns at most limit entries of this gateway's observations of instance speeds, or
+// of those of its whole zone.
+func (d *Directory) SpeedReport(now time.Time, wholeZone bool, limit int) []instancespeed.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if wholeZone {
-		return d.speeds.ZoneEntries(now, most)
+		return d.speeds.ZoneEntries(now, limit)
 	}
-	return d.speeds.LocalEntries(now, most)
+	return d.speeds.LocalEntries(now, limit)
 }
 
-// ApplySpeedReport applies what others told of the instances' speeds.
+// ApplySpeedReport applies a source's report of instance speeds.
 func (d *Directory) ApplySpeedReport(now time.Time, source tally.Source, version tally.Version, entries []instancespeed.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.speeds.ApplyReport(now, source, version, entries)
 }
 
-// InstanceSpeed is what is believed of an instance's speed.
+// InstanceSpeed is the estimated speed of an instance.
 type InstanceSpeed struct {
 	Instance, Service string
 	Estimate          instancespeed.Estimate
-	// Sources is how many other sources the belief may rest on.
+	// Sources is the number of other gateways and zones whose reports the estimate may include.
 	Sources int
 }
 
-// Speeds returns what is believed of all instances that there are observations of, in the order of
-// their services and from fast to slow.
+// Speeds returns the estimates of all instances with observations, sorted by service and then from
+// fast to slow.
 func (d *Directory) Speeds(now time.Time) []InstanceSpeed {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,8 +136,8 @@
 	}
 	var all []InstanceSpeed
 	for id, known := range d.members {
-		if view := d.speeds.Estimate(now, known.key); view.Weight > 0 {
-			all = append(all, InstanceSpeed{Instance: id, Service: known.instance.Service, Estimate: view, Sources: d.speeds.SourceCount()})
+		if estimate := d.speeds.Estimate(now, known.key); estimate.Weight > 0 {
+			all = append(all, InstanceSpeed{Instance: id, Service: known.instance.Service, Estimate: estimate, Sources: d.speeds.SourceCount()})
 		}
 	}
 	slices.SortFunc(all, func(a, b InstanceSpeed) int {
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -12,76 +12,76 @@
 )
 
 const (
-	// checkTries is how many opening packets must stay unanswered before an instance's machine
-	// counts as gone, checkPause apart: some may be lost, meet a full queue of new
-	// connections, or find this process itself without the processor.
-	checkTries = 3
-	checkPause = 100 * time.Millisecond
-	// checkNear and checkFar are how long the first of them may stay unanswered, in the own
-	// region and in another one: the link there is shared, and when it is full a round trip
-	// takes several times as long. An instance wrongly taken for gone may still be running the
-	// request that is retried elsewhere.
-	checkNear = 300 * time.Millisecond
-	checkFar  = 900 * time.Millisecond
-	// checkLife is how long the result of a check holds for all requests there.
-	checkLife = 250 * time.Millisecond
+	// probeAttempts is how many SYN packets, sent probeInterval apart, must stay unanswered before
+	// an instance's machine counts as down: packets may be lost, meet a full accept queue, or be
+	// delayed because this process gets no CPU time.
+	probeAttempts = 3
+	probeInterval = 100 * time.Millisecond
+	// sameRegionProbeTimeout and otherRegionProbeTimeout are how long the first attempt may stay
+	// unanswered, by the instance's region. The link between regions is shared, and a round trip
+	// takes several times as long when it is saturated. An instance wrongly considered down may
+	// still be running the request that is retried elsewhere.
+	sameRegionProbeTimeout  = 300 * time.Millisecond
+	otherRegionProbeTimeout = 900 * time.Millisecond
+	// probeResultTTL is how long the result of a probe is used for all requests to the instance.
+	probeResultTTL = 250 * time.Millisecond
 )
 
-// liveness is when an instance was last heard of, and whether its machine answers. A
-// machine without power, or behind a cut, says nothing, and a connection to it would hang
-// for seconds. It is safe for concurrent use.
+// liveness tracks when an instance last sent data and whether its machine responds. A machine
+// without power or behind a network partition sends nothing, and a connection attempt to it would
+// hang for seconds. It is safe for concurrent use.
 type liveness struct {
 	mu sync.Mutex
-	// heardAt is when it last sent anything on any connection.
-	heardAt time.Time
-	// checkedAt and gone are the last check's; done is closed at the end of a check under
-	// way, nil while there is none.
-	checkedAt time.Time
-	gone      bool
-	done      chan struct{}
+	// lastActivity is when the instance last sent data on any connection.
+	lastActivity time.Time
+	// probedAt and down are the time and the result of the last probe. probeDone is closed at the
+	// end of the current probe; it is nil if none is running.
+	probedAt  time.Time
+	down      bool
+	probeDone chan struct{}
 }
 
-// heard notes that the instance sent something.
-func (l *liveness) heard(now time.Time) {
+// recordActivity records that the instance sent data.
+func (l *liveness) recordActivity(now time.Time) {
 	l.mu.Lock()
-	l.heardAt = now
+	l.lastActivity = now
 	l.mu.Unlock()
 }
 
-// RecordActivity notes that an instance sent something.
-func (p *Pool) RecordActivity(now time.Time, id string) { p.livenessOf(id).heard(now) }
+// RecordActivity records that an instance sent data.
+func (p *Pool) RecordActivity(now time.Time, id string) { p.livenessOf(id).recordActivity(now) }
 
 func (p *Pool) livenessOf(id string) *liveness {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.alive[id]
+	known := p.livenessByID[id]
 	if known == nil {
 		known = &liveness{}
-		p.alive[id] = known
+		p.livenessByID[id] = known
 	}
 	return known
 }
 
-// IsDown reports whether an instance that sent a request nothing for the idle timeout is out
-// of reach. It asks the instance's machine only if no other request has heard of it
-// either; concurrent callers share one check.
+// IsDown reports whether an instance that has sent nothing on a request for the idle timeout is
+// unreachable. It probes the instance's machine only if no other request received data from the
+// instance either. Concurrent callers share one probe; false is returned if the context ends first.
 func (p *Pool) IsDown(ctx context.Context, instance Instance, idleTimeout time.Duration) bool {
 	known := p.livenessOf(instance.ID)
 	known.mu.Lock()
 	now := time.Now()
 	switch {
-	case now.Sub(known.heardAt) < idleTimeout:
+	case now.Sub(known.lastActivity) < idleTimeout:
 		known.mu.Unlock()
 		return false
-	case known.done == nil && now.Sub(known.checkedAt) < checkLife:
-		gone := known.gone
+	case known.probeDone == nil && now.Sub(known.probedAt) < probeResultTTL:
+		down := known.down
 		known.mu.Unlock()
-		return gone
-	case known.done == nil:
-		known.done = make(chan struct{})
-		go p.check(known, instance)
+		return down
+	case known.probeDone == nil:
+		known.probeDone = make(chan struct{})
+		go p.probe(known, instance)
 	}
-	done := known.done
+	done := known.probeDone
 	known.mu.Unlock()
 	select {
 	case <-done:
@@ -90,38 +90,38 @@
 	}
 	known.mu.Lock()
 	defer known.mu.Unlock()
-	return known.gone && now.Sub(known.heardAt) >= idleTimeout
+	return known.down && now.Sub(known.lastActivity) >= idleTimeout
 }
 
-// check finds out whether the instance's machine answers. The connection is kept for the
+// probe checks whether the instance's machine responds. Connections that it opens are kept for the
 // next request.
-func (p *Pool) check(known *liveness, instance Instance) {
-	limit := checkNear
-	if p.far != nil && p.far(instance.Zone) {
-		limit = checkFar
+func (p *Pool) probe(known *liveness, instance Instance) {
+	limit := sameRegionProbeTimeout
+	if p.isOtherRegion != nil && p.isOtherRegion(instance.Zone) {
+		limit = otherRegionProbeTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	answers := make(chan bool, checkTries)
-	for try := range checkTries {
-		go func() { answers <- p.answersAt(ctx, time.Duration(try)*checkPause, instance) }()
+	answers := make(chan bool, probeAttempts)
+	for attempt := range probeAttempts {
+		go func() { answers <- p.probeOnce(ctx, time.Duration(attempt)*probeInterval, instance) }()
 	}
-	gone := true
-	for range checkTries {
+	down := true
+	for range probeAttempts {
 		if <-answers {
-			gone = false
+			down = false
 			cancel()
 		}
 	}
 	known.mu.Lock()
-	known.checkedAt, known.gone = time.Now(), gone
-	close(known.done)
-	known.done = nil
+	known.probedAt, known.down = time.Now(), down
+	close(known.probeDone)
+	known.probeDone = nil
 	known.mu.Unlock()
 }
 
-// answersAt sends one opening packet after a pause and reports whether the machine answers.
-func (p *Pool) answersAt(ctx context.Context, pause time.Duration, instance Instance) bool {
+// probeOnce makes one connection attempt after a pause and reports whether the machine responds.
+func (p *Pool) probeOnce(ctx context.Context, pause time.Duration, instance Instance) bool {
 	if pause > 0 && !wait.For(ctx, pause) {
 		return false
 	}
@@ -135,7 +135,7 @@
 	return !isTimeout(err) && !errors.Is(err, context.Canceled)
 }
 
-// isTimeout reports whether nothing answered. A refusal or a reset is an answer of the
+// isTimeout reports whether an attempt got no response. A refusal or a reset is a response of the
 // machine.
 func isTimeout(err error) bool {
 	var failure net.Error
--- a/internal/backend/liveness_test.go
+++ b/internal/backend/liveness_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mute returns the address of a machine that lets opening packets go unanswered: a
-// listener whose queue of new connections is full.
-func mute(t *testing.T) string {
+// unansweringAddress returns the address of a machine that does not answer SYN packets: a listener
+// whose accept queue is full.
+func unansweringAddress(t *testing.T) string {
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(descriptor) })
@@ -22,9 +22,9 @@
 	bound, err := syscall.Getsockname(descriptor)
 	require.NoError(t, err)
 	address := net.JoinHostPort("127.0.0.1", strconv.Itoa(bound.(*syscall.SockaddrInet4).Port))
-	const more = 16
-	for range more {
-		filling, err := net.DialTimeout("tcp", address, checkPause)
+	const maxDials = 16
+	for range maxDials {
+		filling, err := net.DialTimeout("tcp", address, probeInterval)
 		if err != nil {
 			require.True(t, isTimeout(err))
 			return address
@@ -35,24 +35,24 @@
 	return ""
 }
 
-func TestAnInstanceWhoseMachineDoesNotAnswerIsGone(t *testing.T) {
+func TestInstanceOnUnresponsiveMachineIsDown(t *testing.T) {
 	const idleTimeout = time.Minute
 	pool := NewPool(func() {})
-	gone := Instance{ID: "gone", Service: "llm", Address: mute(t)}
-	require.True(t, pool.IsDown(context.Background(), gone, idleTimeout))
-	require.True(t, pool.IsDown(context.Background(), gone, idleTimeout), "the same for the next request")
+	down := Instance{ID: "gone", Service: "llm", Address: unansweringAddress(t)}
+	require.True(t, pool.IsDown(context.Background(), down, idleTimeout))
+	require.True(t, pool.IsDown(context.Background(), down, idleTimeout), "the result applies to the next request")
 	pool.RecordActivity(time.Now(), "gone")
-	require.False(t, pool.IsDown(context.Background(), gone, idleTimeout), "another request has heard of it")
+	require.False(t, pool.IsDown(context.Background(), down, idleTimeout), "another request received data from the instance")
 }
 
-func TestASilentInstanceWhoseMachineAnswersIsThere(t *testing.T) {
+func TestSilentInstanceOnResponsiveMachineIsNotDown(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	pool := NewPool(func() {})
-	there := Instance{ID: "there", Service: "llm", Address: listener.Addr().String()}
-	require.False(t, pool.IsDown(context.Background(), there, time.Millisecond))
-	require.True(t, pool.isIdle("there"), "the connection serves the next request")
+	silent := Instance{ID: "there", Service: "llm", Address: listener.Addr().String()}
+	require.False(t, pool.IsDown(context.Background(), silent, time.Millisecond))
+	require.True(t, pool.isIdle("there"), "the connection is kept for the next request")
 	require.NoError(t, listener.Close())
 	pool.Forget("there")
-	require.False(t, pool.IsDown(context.Background(), there, time.Millisecond), "a refusal is an answer of the machine")
+	require.False(t, pool.IsDown(context.Background(), silent, time.Millisecond), "a refusal is a response of the machine")
 }
--- a/internal/backend/networkcost.go
+++ b/internal/backend/networkcost.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// zoneCost is a round trip to another zone of the region and the price of the bytes sent
+	// zoneCost is the cost of a round trip to another zone of the region and of the bytes sent
 	// there, in milliseconds.
 	zoneCost = 6.0
-	// priorRegionRoundTrip is assumed, in milliseconds, until fewestDials connections to the
-	// region were opened: a usual figure between two regions of one country.
+	// priorRegionRoundTrip is the round trip to another region, in milliseconds, assumed until
+	// minDials connections to the region were opened: a usual value between two regions of one
+	// country.
 	priorRegionRoundTrip = 40.0
-	// roundTripGain is the weight of a new connection in a region's round trip: one packet
-	// that was lost and sent again after a second must not make a region look far.
+	// roundTripGain is the weight of a new connection in a region's mean round trip: one packet
+	// that is retransmitted after a second must not make a region look far away.
 	roundTripGain = 0.05
 	// roundTripOutlier caps one measured round trip at this multiple of the estimate.
 	roundTripOutlier = 3
-	// fewestDials is how many connections must be measured before their mean replaces the
-	// prior.
-	fewestDials = 3
+	// minDials is how many connections must be measured before their mean replaces the prior.
+	minDials = 3
 )
 
-// networkCosts prices the network path from this gateway to instances of other zones and
-// regions. It is a pure value.
+// networkCosts estimates the cost of the network path from this gateway to instances of other zones
+// and regions. It is a pure value.
 type networkCosts struct {
 	zone   string
 	places place.Map
@@ -32,9 +32,9 @@
 	roundTrips map[string]*mean
 }
 
-// cost returns the price of a round trip to a zone, in milliseconds; connected says that there
-// is a connection already. Another region costs its round trip, twice where the connection
-// must be opened first, and the bytes as between zones.
+// cost returns the cost of a round trip to a zone, in milliseconds; connected says whether there is
+// an idle connection. Another region costs its round trip, twice if the connection must be opened
+// first, plus the cost of traffic between zones.
 func (n *networkCosts) cost(zone string, connected bool) float64 {
 	cost := 0.0
 	if !connected {
@@ -56,15 +56,15 @@
 // roundTrip returns the estimated round trip to a region, in milliseconds.
 func (n *networkCosts) roundTrip(region string) float64 {
 	known := n.roundTrips[region]
-	if known == nil || known.count < fewestDials {
+	if known == nil || known.count < minDials {
 		return priorRegionRoundTrip
 	}
 	return known.value
 }
 
-// dialed adds the time that opening a connection to a zone took. Round trips within the
-// region are negligible and are not measured.
-func (n *networkCosts) dialed(zone string, took time.Duration) {
+// observeDial adds the time that opening a connection to a zone took. Round trips within the region
+// are negligible and not measured.
+func (n *networkCosts) observeDial(zone string, took time.Duration) {
 	if n.places.Distance(n.zone, zone) != place.OtherRegion {
 		return
 	}
@@ -74,6 +74,6 @@
 		known = &mean{}
 		n.roundTrips[region] = known
 	}
-	most := roundTripOutlier * n.roundTrip(region)
-	known.add(min(milliseconds(took), most), roundTripGain)
+	limit := roundTripOutlier * n.roundTrip(region)
+	known.add(min(milliseconds(took), limit), roundTripGain)
 }
--- a/internal/backend/networkcost_test.go
+++ b/internal/backend/networkcost_test.go
@@ -9,7 +9,7 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// twoRegions holds zones a1 and a2 in one region and b1 in another.
+// twoRegions has zones a1 and a2 in one region and b1 in another.
 var twoRegions = place.Map{"a1": "a", "a2": "a", "b1": "b"}
 
 func instancesIn(slots int, zones ...string) []Instance {
@@ -20,7 +20,7 @@
 	return instances
 }
 
-func TestAnotherRegionIsUsedOnceTheOwnOneIsFull(t *testing.T) {
+func TestOtherRegionIsUsedOnceOwnRegionIsFull(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirectory("a1")
 	d.UsePlaces(twoRegions)
@@ -35,21 +35,21 @@
 	require.Equal(t, []string{"b1", "b1"}, chosen[4:])
 }
 
-func TestAMeasuredRoundTripReplacesThePrior(t *testing.T) {
+func TestMeasuredRoundTripReplacesPrior(t *testing.T) {
 	n := networkCosts{zone: "a1", places: twoRegions, roundTrips: map[string]*mean{}}
 	require.Equal(t, zoneCost+priorRegionRoundTrip, n.cost("b1", true))
 	require.Equal(t, connectCost, n.cost("a1", false))
 	require.Equal(t, zoneCost, n.cost("a2", true))
-	for range fewestDials {
-		n.dialed("b1", 12*time.Millisecond)
-		n.dialed("a2", time.Second)
+	for range minDials {
+		n.observeDial("b1", 12*time.Millisecond)
+		n.observeDial("a2", time.Second)
 	}
 	require.Equal(t, connectCost+zoneCost+24, n.cost("b1", false))
-	n.dialed("b1", time.Second) // a packet that was lost
+	n.observeDial("b1", time.Second) // a retransmitted packet
 	require.Less(t, n.roundTrip("b"), 20.0)
 }
 
-func TestALargeServiceIsSampledInTheOwnRegionFirst(t *testing.T) {
+func TestLargeServiceIsSampledInOwnRegionFirst(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := NewDirectory("a1")
 	d.UsePlaces(twoRegions)
@@ -64,5 +64,5 @@
 			own++
 		}
 	}
-	require.Equal(t, 16, own, "all of the own region")
+	require.Equal(t, 16, own, "all instances of the gateway's region are sampled")
 }
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -8,127 +8,127 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// The predicted cost of a placement is in milliseconds. What depends on how fast the
-// instances work is learned (pace); these are prices of the network path.
+// The predicted cost of a placement is in milliseconds. The costs of the instances' work are
+// learned (serviceSpeed); the constants here are costs of the network path and of failures.
 const (
-	// connectCost is a new connection: a round trip, the instance's time for it, and a
-	// place among the connections that the instance accepts from all gateways.
+	// connectCost is the cost of a new connection: a round trip, the instance's time to accept it,
+	// and one of the limited connections that the instance accepts from all gateways.
 	connectCost = 5.0
-	// sampleSize bounds the instances that one placement compares, besides those that are
-	// likely; up to nearShare of them come from the own zone first, and up to regionShare
-	// from the own region.
-	sampleSize  = 24
-	nearShare   = sampleSize / 2
-	regionShare = sampleSize * 3 / 4
-	// failureCost is what each recent failure of an instance adds: one failure in
-	// passing moves little, an instance that fails time and again is left alone.
+	// sampleSize bounds the instances that one placement compares, in addition to
+	// preferredCandidates. Up to sameZoneSample of them come from the gateway's zone first, and up
+	// to sameRegionSample from its region.
+	sampleSize       = 24
+	sameZoneSample   = sampleSize / 2
+	sameRegionSample = sampleSize * 3 / 4
+	// failureCost is the cost of each recent failure of an instance: a single failure has little
+	// effect, an instance that fails repeatedly is avoided.
 	failureCost = 40.0
-	// fullPause is how long an instance that refused for lack of room is avoided.
-	fullPause = 40 * time.Millisecond
+	// fullBackoff is how long an instance that refused a request for lack of capacity is avoided.
+	fullBackoff = 40 * time.Millisecond
 )
 
-// PromptPart is one part of a prompt, which requests may share.
+// PromptPart is a part of a prompt, which several requests may share.
 type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// CachedPrompt says that an instance holds a prompt up to some tokens of one of its parts.
+// CachedPrompt records that an instance has cached a prompt up to some tokens of one of its parts.
 type CachedPrompt struct {
 	Instance string
-	// Born is the start of the instance's life in which it took the prompt; 0 where that is not
-	// known.
+	// Born is the start time of the instance's run that processed the prompt; 0 if unknown.
 	Born uint64
-	// PartIndex is the index of the part in the prompt, Tokens how many of it are held. All
-	// parts before it are held as well.
+	// PartIndex is the index of the part in the prompt, Tokens the number of its tokens that are
+	// cached. All earlier parts are cached as well.
 	PartIndex int
 	Tokens    int
 }
 
-// Demand is what a request needs.
+// Demand holds the placement requirements of a request.
 type Demand struct {
 	Service string
-	// Generates is true for model engines.
+	// Generates is set for requests to model engines.
 	Generates bool
 	// PromptParts are the parts of the prompt, in order.
 	PromptParts []PromptPart
-	// CachedPrompts is what instances hold of the prompt as reported by earlier requests, which
-	// other gateways may have served.
+	// CachedPrompts are the parts of the prompt that instances have cached according to earlier
+	// requests, which other gateways may have served.
 	CachedPrompts []CachedPrompt
 	// Preferred is the instance that ran the previous turn, or "".
 	Preferred string
-	// Pinned is the instance that alone may get the request as long as it is listed; "" leaves
-	// the choice open. While its zone is evacuated nothing may get the request.
+	// Pinned is the only instance that may get the request as long as it is listed; "" allows any.
+	// While its zone is evacuated, no instance may get the request.
 	Pinned string
-	// Exclude lists instances that were tried.
+	// Exclude lists instances that were already tried.
 	Exclude []string
 	// Homes limits the regions whose instances may get the request.
 	Homes place.Homes
-	// Priority is the rank of the request's route; 0 is the most urgent.
+	// Priority is the rank of the request's route; 0 is the highest.
 	Priority int
-	// ByExpectedEnd places the request where it is expected to end soonest, by the speeds of the
-	// single instances that all gateways learn together.
+	// ByExpectedEnd places the request where it is expected to complete first, using the instance
+	// speeds that all gateways learn together.
 	ByExpectedEnd bool
-	// DiscountOldReports says that what other gateways report of instances counts less the older it is.
+	// DiscountOldReports discounts the load reports of other gateways by their age.
 	DiscountOldReports bool
 }
 
-// Choice is where a request goes and why.
+// Choice is the instance chosen for a request, with the estimates behind the choice.
 type Choice struct {
 	Instance Instance
 	PickedAt time.Time
-	// Load is the requests believed to be there, Cost the predicted cost in ms.
+	// Load is the estimated number of requests on the instance, Cost the predicted cost in
+	// milliseconds.
 	Load int
 	Cost float64
-	// ExpectedLoad is the load as far as the reports' age lets it be told, ReportsAge the mean age of
-	// those reports; both are set where the demand asked for it.
+	// ExpectedLoad is the load after reports are discounted by age, ReportAge the mean age of those
+	// reports. They are set only for demands with DiscountOldReports.
 	ExpectedLoad float64
 	ReportAge    time.Duration
-	// UncachedTokens is how many prompt tokens it has to read by what is believed here.
+	// UncachedTokens is the estimated number of prompt tokens that the instance has to read.
 	UncachedTokens int
-	// Candidates is how many instances were compared.
+	// Candidates is the number of instances that were compared.
 	Candidates int
-	// member is what is believed of the instance, in the life in which it was chosen.
+	// member is the member in the run of the instance for which it was chosen.
 	member *member
-	// permit is the leave to send there once, where the instance's service limits that.
+	// permit allows one send to the instance if its service limits cold starts.
 	permit coldstart.Permit
-	// byExpectedEnd is set on placements by the speeds of single instances: their ends are
-	// learned from.
+	// byExpectedEnd is set if the demand asked for ByExpectedEnd: the instance's speed is learned
+	// from the request.
 	byExpectedEnd bool
 }
 
-// Pick chooses the instance with the least predicted cost and counts the request
-// there. The caller must call End. It reports false when there is no instance that
-// may get new work.
+// Pick chooses the instance with the lowest predicted cost and counts the request there. It reports
+// false if no instance may get the request. After a successful Pick the caller must call End or
+// EndFailed.
 func (d *Directory) Pick(now time.Time, demand Demand) (Choice, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.reportColdIfDue(now)
 	choice := Choice{PickedAt: now, byExpectedEnd: demand.ByExpectedEnd}
-	// Where all instances work alike, loads and prompts decide.
-	demand.ByExpectedEnd = demand.ByExpectedEnd && !d.spreadOf(now, demand.Service).alike
+	// Among homogeneous instances only load and cached prompts matter.
+	demand.ByExpectedEnd = demand.ByExpectedEnd && !d.spreadOf(now, demand.Service).homogeneous
 	candidates := d.candidates(now, demand)
 	if demand.ByExpectedEnd {
-		candidates = d.finalists(now, candidates, demand)
+		candidates = d.shortlist(now, candidates, demand)
 	}
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
 	var best *member
 	choice.Candidates = len(candidates)
-	for _, candidate := range candidates { // of equals the first one, which differs each time
+	for _, candidate := range candidates { // the first of equals wins; the order differs each time
 		load := candidate.load(now)
 		expected := float64(load)
 		switch {
 		case demand.DiscountOldReports && demand.ByExpectedEnd:
-			expected = d.loadBySpeed(now, candidate)
+			expected = d.expectedLoadBySpeed(now, candidate)
 		case demand.DiscountOldReports:
 			expected = d.expectedLoad(now, candidate)
 		}
-		cost, missing := d.cost(now, candidate, expected, demand)
+		cost, uncached := d.cost(now, candidate, expected, demand)
 		if best == nil || cost < choice.Cost {
 			best = candidate
-			choice.Load, choice.ExpectedLoad, choice.Cost, choice.UncachedTokens = load, expected, cost, missing
+			choice.Load, choice.ExpectedLoad, choice.Cost, choice.UncachedTokens = load, expected, cost, uncached
 		}
 	}
 	best.inFlight++
@@ -139,206 +139,210 @@
 	default:
 	}
 	choice.member = best
-	choice.ReportAge = d.reportsAge(demand)
+	choice.ReportAge = d.reportAge(demand)
 	best.cache.add(now, demand.PromptParts)
-	d.remember(best.instance.ID, demand.PromptParts)
+	d.recordInstance(best.instance.ID, demand.PromptParts)
 	choice.Instance = best.instance
 	choice.permit = d.cold.Acquire(now, best.instance.ID)
 	return choice, true
 }
 
-// candidates returns a bounded sample of the instances that may get the request, in an
-// order that differs each time. Of a large service these are the ones that probably hold
-// parts of the prompt, those with an idle connection here, and others in turn, those of
-// the own zone first: a gateway with few requests thus keeps to few instances. Leaving and
-// excluded ones are left out, suspected ones too unless there are no others.
+// candidates returns a bounded sample of the instances that may get the request, in an order that
+// differs each time. For a large service these are the preferred candidates, and others in
+// round-robin order, starting with the gateway's zone: a gateway with few requests thus uses few
+// instances. Leaving and excluded instances are omitted, suspected ones too unless there are no
+// others.
 func (d *Directory) candidates(now time.Time, demand Demand) []*member {
 	d.samples++
-	picked := sample{now: now, demand: demand, number: d.samples, places: d.network.places, cold: d.cold}
-	if only := d.members[demand.Pinned]; only != nil {
-		picked.add(only) // while it leaves there is none: it may still be at work on the request
-		return append(picked.sound, picked.suspected...)
+	sampled := sample{now: now, demand: demand, number: d.samples, places: d.network.places, cold: d.cold}
+	if pinned := d.members[demand.Pinned]; pinned != nil {
+		sampled.add(pinned) // no fallback while it is leaving: it may still be running the request
+		return append(sampled.healthy, sampled.suspected...)
 	}
-	all, near := d.byService[demand.Service], d.near[demand.Service]
+	all, near := d.byService[demand.Service], d.sameZone[demand.Service]
 	if len(all) > sampleSize {
-		for _, id := range d.likely(demand) {
-			picked.add(d.members[id])
+		for _, id := range d.preferredCandidates(demand) {
+			sampled.add(d.members[id])
 		}
-		picked.addInTurn(near, d.firstOf(len(near)), nearShare)
-		region := d.regional[demand.Service]
-		picked.addInTurn(region, d.firstOf(len(region)), regionShare)
+		sampled.addRoundRobin(near, d.startIndex(len(near)), sameZoneSample)
+		region := d.sameRegion[demand.Service]
+		sampled.addRoundRobin(region, d.startIndex(len(region)), sameRegionSample)
 	}
-	picked.addInTurn(all, d.firstOf(len(all)), sampleSize)
-	if len(picked.sound) == 0 && len(picked.suspected) == 0 && picked.withheld {
-		d.withheld()
+	sampled.addRoundRobin(all, d.startIndex(len(all)), sampleSize)
+	if len(sampled.healthy) == 0 && len(sampled.suspected) == 0 && sampled.coldWithheld {
+		d.reportWithheld()
 	}
-	if len(picked.sound) == 0 {
-		return picked.suspected
+	if len(sampled.healthy) == 0 {
+		return sampled.suspected
 	}
-	return picked.sound
+	return sampled.healthy
 }
 
-// likely returns the instances that probably hold parts of the prompt, and those with an
-// idle connection here.
-func (d *Directory) likely(demand Demand) []string {
-	ids := d.holders(demand)
+// preferredCandidates returns the instances that probably hold parts of the prompt, and those with
+// an idle connection.
+func (d *Directory) preferredCandidates(demand Demand) []string {
+	ids := d.promptHolders(demand)
 	if d.idle != nil {
 		ids = append(ids, d.idle()...)
 	}
 	return ids
 }
 
-// sample gathers candidates for one placement.
+// sample collects the candidates for one placement.
 type sample struct {
 	now    time.Time
 	demand Demand
 	places place.Map
-	// number marks the instances that were looked at.
-	number           uint64
-	sound, suspected []*member
-	cold             *coldstart.Limiter
-	// withheld is set if a cold instance was left out that has no free place.
-	withheld bool
+	// number is the placement's number; it marks the instances that were considered.
+	number             uint64
+	healthy, suspected []*member
+	cold               *coldstart.Limiter
+	// coldWithheld is set if a cold instance was omitted because it has no free place.
+	coldWithheld bool
 }
 
-// add takes an instance if it may get the request.
+// add adds an instance if it may get the request.
 func (s *sample) add(known *member) {
-	if known == nil || known.sampled == s.number || known.instance.Service != s.demand.Service {
+	if known == nil || known.lastSample == s.number || known.instance.Service != s.demand.Service {
 		return
 	}
-	known.sampled = s.number
+	known.lastSample = s.number
 	switch {
 	case !known.mayServe(s.now) || slices.Contains(s.demand.Exclude, known.instance.ID):
-	case !s.demand.isHome(known, s.places): // no overflow to other regions: the data stays at its homes
+	case !s.demand.isHome(known, s.places): // no overflow to other regions: data must stay in its home regions
 	case !s.cold.Admits(s.now, known.instance.ID):
-		s.withheld = true
+		s.coldWithheld = true
 	case s.now.Before(known.avoidUntil):
 		s.suspected = append(s.suspected, known)
 	default:
-		s.sound = append(s.sound, known)
+		s.healthy = append(s.healthy, known)
 	}
 }
 
-// addInTurn takes instances from the given place on until there are so many.
-func (s *sample) addInTurn(all []*member, first, most int) {
+// addRoundRobin adds instances, starting at the index first, until there are limit healthy
+// candidates.
+func (s *sample) addRoundRobin(all []*member, first, limit int) {
 	for step := range all {
-		if len(s.sound) >= most {
+		if len(s.healthy) >= limit {
 			return
 		}
 		s.add(all[(first+step)%len(all)])
 	}
 }
 
-// firstOf returns where the next placement begins among so many instances. The places
-// are spread evenly whatever their number, and differently at each gateway: otherwise
-// all gateways would give what is equal to the same instances.
-func (d *Directory) firstOf(count int) int {
+// startIndex returns the index at which the next placement starts in a list of count instances. The
+// indexes are uniformly distributed for any count and differ between gateways: otherwise all
+// gateways would choose the same ones among equal instances.
+func (d *Directory) startIndex(count int) int {
 	if count == 0 {
 		return 0
 	}
-	return int(d.nextMixed() % uint64(count))
+	return int(d.nextRandom() % uint64(count))
 }
 
-// nextMixed returns the next of this gateway's pseudorandom numbers.
-func (d *Directory) nextMixed() uint64 {
-	d.turn++
+// nextRandom returns the next pseudorandom number of this gateway.
+func (d *Directory) nextRandom() uint64 {
+	d.sequence++
 	// The steps of splitmix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number
 	// Generators, 2014).
-	mixed := d.seed + d.turn*0x9e3779b97f4a7c15
+	mixed := d.seed + d.sequence*0x9e3779b97f4a7c15
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
 	return mixed ^ mixed>>31
 }
 
-// remember notes where the parts of a prompt were used last.
-func (d *Directory) remember(id string, parts []PromptPart) {
-	const most = 16384
-	if len(d.ranLast) > most {
-		clear(d.ranLast)
+// recordInstance records the instance that processes the parts of a prompt.
+func (d *Directory) recordInstance(id string, parts []PromptPart) {
+	const maxEntries = 16384
+	if len(d.lastInstances) > maxEntries {
+		clear(d.lastInstances)
 	}
 	for _, part := range parts {
-		d.ranLast[part.ID] = id
+		d.lastInstances[part.ID] = id
 	}
 }
 
-// lastRun returns the instance that had the newest known part of the prompt.
-func (d *Directory) lastRun(parts []PromptPart) string {
+// lastInstanceOf returns the instance that last processed the latest known part of the prompt, or
+// "".
+func (d *Directory) lastInstanceOf(parts []PromptPart) string {
 	for _, part := range slices.Backward(parts) {
-		if id, known := d.ranLast[part.ID]; known {
+		if id, known := d.lastInstances[part.ID]; known {
 			return id
 		}
 	}
 	return ""
 }
 
-// cost predicts what a placement costs, in milliseconds, and the tokens to be read.
+// cost predicts the cost of a placement in milliseconds, and the number of prompt tokens to be
+// read.
 func (d *Directory) cost(now time.Time, candidate *member, load float64, demand Demand) (float64, int) {
 	cost := failureCost * candidate.recentFailures(now)
 	connected := d.connected == nil || d.connected(candidate.instance.ID)
 	cost += d.network.cost(candidate.instance.Zone, connected)
-	missing := d.missing(now, candidate, demand)
+	uncached := d.uncachedTokens(now, candidate, demand)
 	if d.cold.Cold(now, candidate.instance.ID) {
-		cost += d.coldCost(demand, missing)
+		cost += d.coldCost(demand, uncached)
 	}
 	if demand.ByExpectedEnd {
-		return cost + d.expectedEnd(now, candidate, load, missing, demand), missing
+		return cost + d.expectedCompletion(now, candidate, load, uncached, demand), uncached
 	}
-	known := d.paceOf(demand.Service)
+	known := d.serviceSpeedOf(demand.Service)
 	slots := float64(max(1, candidate.instance.Slots))
 	waiting := max(0, load-slots+1)
-	cost += (max(candidate.slowness.factor(now), d.toldSlowness(now, candidate)) - 1) * known.durationMS()
+	cost += (max(candidate.slowness.slowdown(now), d.sharedSlowdown(now, candidate)) - 1) * known.durationMS()
 	if !demand.Generates {
 		return cost + load + known.durationMS()*waiting, 0
 	}
 	running := min(load, slots)
-	// Each request there reads its prompt between the steps of the others: this one waits
-	// for theirs, and all wait for this one's.
-	cost += running * known.readTokens() * known.readingMS()
-	cost += (1 + running) * float64(missing) * known.readingMS()
-	return cost + waiting*known.durationMS()/slots, missing
+	// Prompt reading alternates with the steps of running requests: this request waits for
+	// the prompts of the others, and all of them wait for its prompt.
+	cost += running * known.meanUncachedTokens() * known.tokenMS()
+	cost += (1 + running) * float64(uncached) * known.tokenMS()
+	return cost + waiting*known.durationMS()/slots, uncached
 }
 
-// missing returns the prompt tokens that the instance would have to read.
-func (d *Directory) missing(now time.Time, candidate *member, demand Demand) int {
-	missing := min(candidate.cache.missing(now, demand.PromptParts), demand.missingAt(candidate.instance))
-	if candidate.instance.ID == demand.Preferred && len(demand.PromptParts) > 0 && !demand.knowsEarlierLife(candidate.instance) {
-		missing = min(missing, demand.PromptParts[len(demand.PromptParts)-1].Tokens)
+// uncachedTokens returns the estimated number of prompt tokens that the instance would have to
+// read.
+func (d *Directory) uncachedTokens(now time.Time, candidate *member, demand Demand) int {
+	uncached := min(candidate.cache.uncachedTokens(now, demand.PromptParts), demand.uncachedTokensAt(candidate.instance))
+	if candidate.instance.ID == demand.Preferred && len(demand.PromptParts) > 0 && !demand.cachedInEarlierRunOnly(candidate.instance) {
+		uncached = min(uncached, demand.PromptParts[len(demand.PromptParts)-1].Tokens)
 	}
-	return missing
+	return uncached
 }
 
-// missingAt returns the tokens that an instance would have to read as reported by
-// earlier requests.
-func (d Demand) missingAt(instance Instance) int {
+// uncachedTokensAt returns the number of prompt tokens that an instance would have to read
+// according to earlier requests.
+func (d Demand) uncachedTokensAt(instance Instance) int {
 	total := 0
 	for _, part := range d.PromptParts {
 		total += part.Tokens
 	}
-	missing := total
+	uncached := total
 	for _, cached := range d.CachedPrompts {
-		if !cached.isIn(instance) {
+		if !cached.isHeldBy(instance) {
 			continue
 		}
-		behind := 0
+		after := 0
 		for _, part := range d.PromptParts[cached.PartIndex+1:] {
-			behind += part.Tokens
+			after += part.Tokens
 		}
-		missing = min(missing, behind+max(0, d.PromptParts[cached.PartIndex].Tokens-cached.Tokens))
+		uncached = min(uncached, after+max(0, d.PromptParts[cached.PartIndex].Tokens-cached.Tokens))
 	}
-	return missing
+	return uncached
 }
 
-// isIn reports whether the prompt is held by the instance in its present life.
-func (c CachedPrompt) isIn(instance Instance) bool {
+// isHeldBy reports whether the instance, in its current run, has cached the prompt.
+func (c CachedPrompt) isHeldBy(instance Instance) bool {
 	return c.Instance == instance.ID && (c.Born == 0 || instance.Born == 0 || c.Born == instance.Born)
 }
 
-// knowsEarlierLife reports whether the program's turns left prompts at the instance in an
-// earlier life of it, and none in the present one.
-func (d Demand) knowsEarlierLife(instance Instance) bool {
+// cachedInEarlierRunOnly reports whether earlier requests cached prompts at the instance only
+// before its restart.
+func (d Demand) cachedInEarlierRunOnly(instance Instance) bool {
 	earlier := false
 	for _, cached := range d.CachedPrompts {
-		if cached.isIn(instance) {
+		if cached.isHeldBy(instance) {
 			return false
 		}
 		earlier = earlier || cached.Instance == instance.ID
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -15,59 +15,61 @@
 const (
 	// connectTimeout bounds the wait for a connection to an instance.
 	connectTimeout = 300 * time.Millisecond
-	// idleDefault is how long a kept connection may rest when the instance does not
-	// say; idleMargin is kept away from what it says.
+	// idleDefault is how long a connection may stay idle if the instance does not specify it;
+	// idleMargin is subtracted from what the instance specifies.
 	idleDefault = 4 * time.Second
 	idleMargin  = 600 * time.Millisecond
 	// readBuffer is the size of a connection's read buffer.
 	readBuffer = 4 << 10
 )
 
-// connection is one connection to an instance. It carries one request at a time.
+// connection is a connection to an instance. It carries one request at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// reused is true from the second request on.
+	// reused is set from the second request on.
 	reused bool
-	// idleUntil is when the instance may close it.
+	// idleUntil is when the instance may close the connection.
 	idleUntil time.Time
 }
 
-// Pool keeps connections to instances. It is safe for concurrent use.
+// Pool holds idle connections to instances. It is safe for concurrent use.
 type Pool struct {
-	// Opened counts new connections, for the metrics.
+	// Opened is called for each new connection, for metrics.
 	Opened func()
-	// dialed is told how long opening a connection took, for the price of the network path.
+	// dialed is called with the time that opening a connection took, for the cost of the network
+	// path. It may be nil.
 	dialed func(instance Instance, took time.Duration)
-	// far reports whether a zone is in another region; nil knows of none.
-	far func(zone string) bool
+	// isOtherRegion reports whether a zone is in another region; nil means that there is only one
+	// region.
+	isOtherRegion func(zone string) bool
 
 	mu   sync.Mutex
 	idle map[string][]*connection
-	// idleLimit bounds the resting connections to one instance, by service.
+	// idleLimit bounds the idle connections to each instance, by service.
 	idleLimit map[string]int
-	// alive is what is known of each instance's machine.
-	alive map[string]*liveness
+	// livenessByID holds the liveness of each instance.
+	livenessByID map[string]*liveness
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. The callback is called for each new connection.
 func NewPool(opened func()) *Pool {
-	return &Pool{Opened: opened, idle: map[string][]*connection{}, idleLimit: map[string]int{}, alive: map[string]*liveness{}}
+	return &Pool{Opened: opened, idle: map[string][]*connection{}, idleLimit: map[string]int{}, livenessByID: map[string]*liveness{}}
 }
 
-// UseOtherRegion tells the pool which zones are in another region. It must be called before the first
-// request.
-func (p *Pool) UseOtherRegion(far func(zone string) bool) { p.far = far }
+// UseOtherRegion sets the function that reports whether a zone is in another region. It must be
+// called before the first request.
+func (p *Pool) UseOtherRegion(isOtherRegion func(zone string) bool) { p.isOtherRegion = isOtherRegion }
 
-// take returns a kept connection that is still sound, or a new one.
-func (p *Pool) take(ctx context.Context, instance Instance, fresh bool) (*connection, error) {
+// acquire returns an idle connection that is still usable, or a new one.
+func (p *Pool) acquire(ctx context.Context, instance Instance, forceNew bool) (*connection, error) {
 	now := time.Now()
-	for !fresh {
+	for !forceNew {
 		kept := p.pop(instance.ID)
 		if kept == nil {
 			break
 		}
-		if now.Before(kept.idleUntil) && quiet(kept.Conn) {
+		if now.Before(kept.idleUntil) && isReusable(kept.Conn) {
 			kept.reused = true
 			return kept, nil
 		}
@@ -88,14 +90,14 @@
 	return &connection{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}
 }
 
-// isIdle reports whether there is an idle connection to the instance to be used.
+// isIdle reports whether there is a usable idle connection to the instance.
 func (p *Pool) isIdle(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return usable(p.idle[id], time.Now())
 }
 
-// idleInstances returns the instances with an idle connection, in the order of their ids.
+// idleInstances returns the ids of the instances with an idle connection, sorted.
 func (p *Pool) idleInstances() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,12 +112,12 @@
 	return ids
 }
 
-// usable reports whether the connection that was used last may still be used.
+// usable reports whether the most recently used connection has not expired.
 func usable(kept []*connection, now time.Time) bool {
 	return len(kept) > 0 && now.Before(kept[len(kept)-1].idleUntil)
 }
 
-// pop takes the connection that was used last.
+// pop removes and returns the most recently used connection, nil if there is none.
 func (p *Pool) pop(id string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +130,7 @@
 	return last
 }
 
-// put keeps a connection for the next request, unless as many rest as may.
+// put keeps a connection for the next request, or closes it if the idle limit is reached.
 func (p *Pool) put(instance Instance, kept *connection, idle time.Duration) {
 	kept.idleUntil = time.Now().Add(idle)
 	p.mu.Lock()
@@ -143,34 +145,34 @@
 	}
 }
 
-// putBack keeps a connection that was taken and not used.
+// putBack returns a connection that was acquired but not used.
 func (p *Pool) putBack(instance Instance, unused *connection) {
-	rest := idleDefault
+	idle := idleDefault
 	if unused.reused {
-		rest = time.Until(unused.idleUntil)
+		idle = time.Until(unused.idleUntil)
 	}
-	p.put(instance, unused, rest)
+	p.put(instance, unused, idle)
 }
 
-// SetIdleLimit bounds the connections that may rest to each instance of a service:
-// an instance accepts so many from all gateways together, resting ones included.
+// SetIdleLimit bounds the idle connections to each instance of a service: an instance accepts a
+// limited number of connections from all gateways together, including idle ones.
 func (p *Pool) SetIdleLimit(service string, limit int) {
 	p.mu.Lock()
 	p.idleLimit[service] = limit
 	p.mu.Unlock()
 }
 
-// Forget closes the kept connections of an instance that is gone.
+// Forget removes all state of an instance that was removed, and closes its idle connections.
 func (p *Pool) Forget(id string) {
 	p.mu.Lock()
-	delete(p.alive, id)
+	delete(p.livenessByID, id)
 	p.mu.Unlock()
 	p.closeIdle(id)
 }
 
-// closeIdle closes the kept connections to an instance. Those of one that broke a request off
-// are probably as dead as the one that was used: each would cost one more request that may
-// have run, where a new connection that is refused costs none.
+// closeIdle closes the idle connections to an instance. After an instance has broken off a request,
+// its other connections are probably dead too: each would cost one more request that may have run,
+// whereas a new connection that is refused costs none.
 func (p *Pool) closeIdle(id string) {
 	p.mu.Lock()
 	kept := p.idle[id]
@@ -181,19 +183,19 @@
 	}
 }
 
-// quiet reports whether a resting connection is open and has nothing to read. Bytes
-// that came unasked belong to no request.
-func quiet(connection net.Conn) bool {
+// isReusable reports whether an idle connection is open and has no data to read. Unsolicited data
+// belongs to no request.
+func isReusable(connection net.Conn) bool {
 	raw, err := connection.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent := false
+	open := false
 	var one [1]byte
 	err = raw.Read(func(descriptor uintptr) bool {
 		_, _, receiveErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = receiveErr == syscall.EAGAIN
+		open = receiveErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && open
 }
--- a/internal/backend/promptcache.go
+++ b/internal/backend/promptcache.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// cacheLife is how long a prompt part is believed to stay in an engine's memory.
-const cacheLife = 8 * time.Second
+// cacheTTL is how long a prompt part is assumed to stay in an engine's prompt cache.
+const cacheTTL = 8 * time.Second
 
-// promptCache is what this gateway believes an engine's memory to hold, by part.
+// promptCache is this gateway's estimate of the contents of an engine's prompt cache, by part.
 type promptCache map[string]cachedPart
 
-// cachedPart is a part of a prompt in an engine's memory. The last part of a prompt
-// grows from one request to the next.
+// cachedPart is a prompt part in an engine's cache. The last part of a prompt grows from one
+// request to the next.
 type cachedPart struct {
 	tokens int
 	usedAt time.Time
@@ -17,22 +17,22 @@
 
 func newPromptCache() promptCache { return promptCache{} }
 
-// missing returns the tokens that the engine would have to read: what is held of a part
-// counts only if all before it is held whole.
-func (c promptCache) missing(now time.Time, parts []PromptPart) int {
-	missing, intact := 0, true
+// uncachedTokens returns the tokens that the engine would have to read: a cached part counts only
+// if all parts before it are completely cached.
+func (c promptCache) uncachedTokens(now time.Time, parts []PromptPart) int {
+	uncached, contiguous := 0, true
 	for _, part := range parts {
 		held := 0
-		if known, exists := c[part.ID]; intact && exists && now.Sub(known.usedAt) < cacheLife {
+		if known, exists := c[part.ID]; contiguous && exists && now.Sub(known.usedAt) < cacheTTL {
 			held = min(known.tokens, part.Tokens)
 		}
-		missing += part.Tokens - held
-		intact = held == part.Tokens
+		uncached += part.Tokens - held
+		contiguous = held == part.Tokens
 	}
-	return missing
+	return uncached
 }
 
-// add notes the parts of a request that goes to the engine.
+// add records the parts of a request that is sent to the engine.
 func (c promptCache) add(now time.Time, parts []PromptPart) {
 	const sweepSize = 2048
 	for _, part := range parts {
@@ -42,7 +42,7 @@
 		return
 	}
 	for id, known := range c {
-		if now.Sub(known.usedAt) >= cacheLife {
+		if now.Sub(known.usedAt) >= cacheTTL {
 			delete(c, id)
 		}
 	}
--- a/internal/backend/restriction.go
+++ b/internal/backend/restriction.go
@@ -7,39 +7,40 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// Restriction is why no instance of a service may get a request though some are there. Waiting for
-// room changes nothing about it.
+// Restriction is the placement rule that keeps a request off all instances of its service although
+// some are listed. Waiting for capacity does not lift it.
 type Restriction uint8
 
 const (
-	// NotRestricted means that some instance may get the request, now or once it has room, or
-	// that none is listed.
+	// NotRestricted means that some instance may get the request, now or once it has capacity, or
+	// that no instance is listed.
 	NotRestricted Restriction = iota
-	// RestrictedByHomes means that no instance stands in a region where the request may run.
+	// RestrictedByHomes means that no instance is in a region where the request may run.
 	RestrictedByHomes
-	// RestrictedByEvacuation means that all that might run it stand in evacuated zones.
+	// RestrictedByEvacuation means that all instances that may run the request are in evacuated
+	// zones.
 	RestrictedByEvacuation
 )
 
-// String returns the reason in the words of the log and of refusals.
-func (b Restriction) String() string {
-	switch b {
+// String returns the reason as it appears in the log and in refusals.
+func (r Restriction) String() string {
+	switch r {
 	case RestrictedByHomes:
 		return "no instance is in a region where the request may run"
 	case RestrictedByEvacuation:
 		return "the zones of all instances that may run it are evacuated"
 	default:
-		return "not barred"
+		return "not restricted"
 	}
 }
 
-// SetEvacuated replaces the list of zones whose instances are to get nothing further, and
-// returns the zones that may get work again since now. What runs in an evacuated zone goes
-// on to its end. The instances of a zone that returns may have turned cold meanwhile, and
-// count as cold until their entries say otherwise.
+// SetEvacuated replaces the list of zones whose instances get no new requests, and returns the
+// zones that may get requests again. Requests that already run in an evacuated zone finish. The
+// instances of a zone that returns may have become cold in the meantime, so they count as cold
+// until their entries say otherwise.
 //
-// The list always binds, whatever else is lost: an operator who evacuates every zone gets
-// refusals, for only the operator knows what those zones are about to lose.
+// The list is always honored, even if no instance is left: when an operator evacuates every zone,
+// requests are refused, because only the operator knows what those zones are about to lose.
 func (d *Directory) SetEvacuated(now time.Time, zones []string) (returned []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,44 +63,44 @@
 	return returned
 }
 
-// EvacuatedInFlight returns this gateway's requests in flight in evacuated zones.
+// EvacuatedInFlight returns the number of this gateway's requests in flight in evacuated zones.
 func (d *Directory) EvacuatedInFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	running := 0
+	inFlight := 0
 	for _, known := range d.members {
 		if known.evacuated {
-			running += known.inFlight
+			inFlight += known.inFlight
 		}
 	}
-	return running
+	return inFlight
 }
 
-// Restriction returns why no instance may get the request, if that is a rule about places. It
-// looks at all instances of the service: callers ask only once Pick has found none.
+// Restriction returns the placement rule that excludes every instance for the request, if there is
+// one. It scans all instances of the service, so callers use it only after Pick has found none.
 func (d *Directory) Restriction(now time.Time, demand Demand) Restriction {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if only := d.members[demand.Pinned]; only != nil && only.isStaying(now) {
-		return d.barFor(only, demand)
+	if pinned := d.members[demand.Pinned]; pinned != nil && pinned.isActive(now) {
+		return d.restrictionFor(pinned, demand)
 	}
-	bar := NotRestricted
+	restriction := NotRestricted
 	for _, known := range d.byService[demand.Service] {
-		if !known.isStaying(now) {
+		if !known.isActive(now) {
 			continue
 		}
-		each := d.barFor(known, demand)
-		if each == NotRestricted {
+		reason := d.restrictionFor(known, demand)
+		if reason == NotRestricted {
 			return NotRestricted
 		}
-		bar = max(bar, each)
+		restriction = max(restriction, reason)
 	}
-	return bar
+	return restriction
 }
 
-// barFor returns why an instance may not get the request, if that is a rule about places. The
-// caller holds the lock.
-func (d *Directory) barFor(known *member, demand Demand) Restriction {
+// restrictionFor returns the placement rule that excludes an instance for the request, if there is
+// one. The caller must hold the lock.
+func (d *Directory) restrictionFor(known *member, demand Demand) Restriction {
 	switch {
 	case !demand.isHome(known, d.network.places):
 		return RestrictedByHomes
@@ -110,7 +111,7 @@
 	}
 }
 
-// isHome reports whether the request may run where the instance stands.
+// isHome reports whether the request may run in the instance's region.
 func (d Demand) isHome(known *member, places place.Map) bool {
 	return d.Homes.Allow(places.Region(known.instance.Zone))
 }
--- a/internal/backend/restriction_test.go
+++ b/internal/backend/restriction_test.go
@@ -9,18 +9,18 @@
 	"swiftbank.dev/swiftbank/internal/place"
 )
 
-// inZones returns instances of one service that stand in the zones in turn.
+// inZones returns instances of one service, distributed round-robin over the zones.
 func inZones(count int, zones ...string) []Instance {
-	all := engines(count)
-	for i := range all {
-		all[i].Zone = zones[i%len(zones)]
+	instances := engines(count)
+	for i := range instances {
+		instances[i].Zone = zones[i%len(zones)]
 	}
-	return all
+	return instances
 }
 
-// byEveryPath returns demands that reach each source of candidates: the own zone, the
-// instance of the previous turn, reported and remembered prompts, the instance bound to.
-func byEveryPath(instance string) []Demand {
+// demandsOfAllKinds returns demands that reach each source of candidates: the gateway's zone, the
+// instance of the previous turn, reported and recorded prompts, and the pinned instance.
+func demandsOfAllKinds(instance string) []Demand {
 	parts := []PromptPart{{ID: "p", Tokens: 100}}
 	demands := []Demand{
 		{},
@@ -35,23 +35,23 @@
 	return demands
 }
 
-// What an evacuation or a home forbids must be out of reach on every path, at a service that
-// is compared whole and at one that is sampled.
-func TestNoPathLeadsRoundARuleOnPlaces(t *testing.T) {
+// Instances excluded by an evacuation or by home regions must be unreachable through every source
+// of candidates, both in a service that is compared as a whole and in one that is sampled.
+func TestPickHonorsZoneAndRegionRestrictions(t *testing.T) {
 	regions := place.Map{"a": "north", "b": "south"}
 	for _, size := range []int{4, 3 * sampleSize} {
 		for rule := range 2 {
 			d := NewDirectory("a")
 			d.UsePlaces(regions)
 			d.Update(start, inZones(size, "a", "b"), false)
-			d.remember("e00", []PromptPart{{ID: "p", Tokens: 100}})
+			d.recordInstance("e00", []PromptPart{{ID: "p", Tokens: 100}})
 			homes := place.Homes{}
 			if rule == 0 {
 				require.Empty(t, d.SetEvacuated(start, []string{"a"}))
 			} else {
 				homes = place.HomesOf([]string{"south"})
 			}
-			for number, demand := range byEveryPath("e00") {
+			for number, demand := range demandsOfAllKinds("e00") {
 				demand.Homes = homes
 				for range 2 * sampleSize {
 					choice, found := d.Pick(start, demand)
@@ -63,36 +63,36 @@
 	}
 }
 
-// An instance that starts in an evacuated zone, one that the list lacks for a moment, and a
-// retry that has tried all others get nothing there either.
-func TestAnEvacuationOutlastsWhatHappensMeanwhile(t *testing.T) {
+// An evacuation must also cover an instance that starts in the zone, one that is temporarily
+// missing from the list, and a retry that has tried all other instances.
+func TestEvacuationCoversNewAndUnlistedInstances(t *testing.T) {
 	d := NewDirectory("a")
 	d.SetEvacuated(start, []string{"a"})
 	d.Update(start, inZones(2, "a", "b"), false)
 	d.Update(start, inZones(4, "a", "b")[:3], true)
 	_, found := d.Pick(start, Demand{Service: "llm", Exclude: []string{"e01"}})
 	require.False(t, found)
-	require.Equal(t, NotRestricted, d.Restriction(start, Demand{Service: "llm", Exclude: []string{"e01"}}), "the other one may have room again")
+	require.Equal(t, NotRestricted, d.Restriction(start, Demand{Service: "llm", Exclude: []string{"e01"}}), "the other instance may have capacity again")
 }
 
-func TestAnEndedEvacuationReturnsItsZones(t *testing.T) {
+func TestSetEvacuatedReturnsRestoredZones(t *testing.T) {
 	d := NewDirectory("a")
 	d.Update(start, inZones(3, "a", "b", "c"), false)
 	require.Empty(t, d.SetEvacuated(start, []string{"a", "b"}))
 	choice, found := d.Pick(start, Demand{Service: "llm"})
 	require.True(t, found)
 	require.Equal(t, "c", choice.Instance.Zone)
-	require.Equal(t, []string{"a"}, d.SetEvacuated(start, []string{"b", "c"}), "a second zone goes as the first comes back")
+	require.Equal(t, []string{"a"}, d.SetEvacuated(start, []string{"b", "c"}), "zone c is evacuated when zone a is restored")
 	choice, found = d.Pick(start, Demand{Service: "llm"})
 	require.True(t, found)
 	require.Equal(t, "a", choice.Instance.Zone)
-	require.Equal(t, 1, d.EvacuatedInFlight(), "what ran in c goes on")
+	require.Equal(t, 1, d.EvacuatedInFlight(), "requests in c continue")
 	d.End(start, d.choiceOf("e02"), Answered)
 	require.Zero(t, d.EvacuatedInFlight())
 	require.Equal(t, []string{"b", "c"}, d.SetEvacuated(start, nil))
 }
 
-func TestWhyNoPlaceMayServe(t *testing.T) {
+func TestRestriction(t *testing.T) {
 	leaving := inZones(2, "a", "b")
 	leaving[1].Leaving = true
 	south, north := place.HomesOf([]string{"south"}), place.HomesOf([]string{"north"})
--- a/internal/backend/servicespeed_test.go
+++ b/internal/backend/servicespeed_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answers feeds a service's pace with turns of an engine that reads a token in tokenMS.
-func answers(p *pace, random *rand.Rand, count int, tokenMS float64) {
+// answers adds turns of an engine that reads a token in tokenMS to a service's speed.
+func answers(p *serviceSpeed, random *rand.Rand, count int, tokenMS float64) {
 	const baseMS = 20
 	for range count {
 		missing := random.IntN(12000)
@@ -19,40 +19,40 @@
 	}
 }
 
-func TestThePaceFollowsTheEngines(t *testing.T) {
+func TestServiceSpeedTracksEngines(t *testing.T) {
 	for _, tokenMS := range []float64{0.002, 0.006, 0.0154, 0.1} {
-		p := newPace()
+		p := newServiceSpeed()
 		answers(p, rand.New(rand.NewPCG(1, 2)), 400, tokenMS)
-		require.InEpsilon(t, tokenMS, p.readingMS(), 0.3)
+		require.InEpsilon(t, tokenMS, p.tokenMS(), 0.3)
 		answers(p, rand.New(rand.NewPCG(3, 4)), 800, 3*tokenMS)
-		require.InEpsilon(t, 3*tokenMS, p.readingMS(), 0.3, "engines may become slower")
+		require.InEpsilon(t, 3*tokenMS, p.tokenMS(), 0.3, "engines may become slower")
 	}
 }
 
-func TestThePaceKeepsThePriorWhileNothingTellsOtherwise(t *testing.T) {
-	p := newPace()
-	require.InDelta(t, priorReading, p.readingMS(), 0)
+func TestServiceSpeedKeepsPriorWithoutEvidence(t *testing.T) {
+	p := newServiceSpeed()
+	require.InDelta(t, priorTokenMS, p.tokenMS(), 0)
 	for range 100 {
 		p.observe(Observation{Kind: "r", UncachedTokens: 600, TimeToFirstEvent: 50 * time.Millisecond, Duration: time.Second, Events: 5}, 16)
 	}
-	require.InDelta(t, priorReading, p.readingMS(), 0, "turns of one length do not tell what a token costs")
-	require.InDelta(t, 600, p.readTokens(), 1)
+	require.InDelta(t, priorTokenMS, p.tokenMS(), 0, "turns of equal length do not show the time per token")
+	require.InDelta(t, 600, p.meanUncachedTokens(), 1)
 	require.InDelta(t, 1000, p.durationMS(), 1)
-	require.InDelta(t, 50, p.firstMS(), 1)
+	require.InDelta(t, 50, p.firstEventMS(), 1)
 }
 
-func TestWhatLoadedInstancesTellIsNotOfReading(t *testing.T) {
-	p := newPace()
+func TestTokenTimeIgnoresLoadedInstances(t *testing.T) {
+	p := newServiceSpeed()
 	random := rand.New(rand.NewPCG(5, 6))
 	answers(p, random, 400, 0.006)
 	for range 400 {
 		p.observe(Observation{Kind: "r", UncachedTokens: random.IntN(12000), Load: 16, TimeToFirstEvent: 3 * time.Second, Duration: 4 * time.Second, Events: 9}, 16)
 	}
-	require.InEpsilon(t, 0.006, p.readingMS(), 0.3)
+	require.InEpsilon(t, 0.006, p.tokenMS(), 0.3)
 }
 
-// serve answers requests of a plain service and returns how many each instance got. The
-// instance "e00" takes slow times as long.
+// serve simulates requests to a plain service and returns how many each instance got. The durations
+// of instance "e00" are multiplied by slow.
 func serve(d *Directory, now *time.Time, random *rand.Rand, requests int, slow float64) map[string]int {
 	counts := map[string]int{}
 	for range requests {
@@ -70,24 +70,24 @@
 	return counts
 }
 
-func TestASlowInstanceGetsLessAndIsTriedAgain(t *testing.T) {
+func TestSlowInstanceGetsFewerRequestsAndRecovers(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(4), false)
 	now, random := start, rand.New(rand.NewPCG(7, 8))
 	const requests = 400
 	even := serve(d, &now, random, requests, 1)
 	for id, count := range even {
-		require.Greater(t, count, requests/8, "%s works as the others do", id)
+		require.Greater(t, count, requests/8, "%s has the same speed as the others", id)
 	}
 	during := serve(d, &now, random, requests, 6)
 	require.Less(t, during["e00"], requests/8)
-	require.Positive(t, during["e00"], "it is tried from time to time")
+	require.Positive(t, during["e00"], "a slow instance is still tried")
 	serve(d, &now, random, requests, 1)
 	after := serve(d, &now, random, requests, 1)
-	require.Greater(t, after["e00"], requests/8, "it works as the others do again")
+	require.Greater(t, after["e00"], requests/8, "the instance has recovered")
 }
 
-func TestASessionGoesWhereAnotherGatewayLeftItsPrompt(t *testing.T) {
+func TestSessionFollowsPromptCachedByAnotherGateway(t *testing.T) {
 	d := NewDirectory("z")
 	d.Update(start, engines(50), false)
 	session := []PromptPart{{ID: "shared", Tokens: 12000}, {ID: "session", Tokens: 5000}}
@@ -97,20 +97,20 @@
 	for i := range 3 {
 		choice, found := d.Pick(start, demand)
 		require.True(t, found)
-		require.Equal(t, "e41", choice.Instance.ID, "pick %d: the instance that lacks least", i)
+		require.Equal(t, "e41", choice.Instance.ID, "pick %d: the instance with the fewest uncached tokens", i)
 		require.Equal(t, 1000, choice.UncachedTokens)
 		d.End(start, choice, Answered)
 		d.members["e41"].cache = newPromptCache()
 	}
 }
 
-func TestAPartThatGrewIsHeldAsFarAsItWasRead(t *testing.T) {
+func TestGrownPromptPartIsPartlyCached(t *testing.T) {
 	cache := newPromptCache()
 	cache.add(start, []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}})
-	require.Equal(t, 500, cache.missing(start, []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}}))
+	require.Equal(t, 500, cache.uncachedTokens(start, []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}}))
 	behind := []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 800}, {ID: "child", Tokens: 50}}
 	cache.add(start, []PromptPart{{ID: "child", Tokens: 50}})
-	require.Equal(t, 550, cache.missing(start, behind), "what stands behind a gap is not held")
-	require.Equal(t, 1300, cache.missing(start.Add(cacheLife), []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}}))
-	require.Equal(t, 1000, cache.missing(start, []PromptPart{{ID: "new", Tokens: 1000}}))
+	require.Equal(t, 550, cache.uncachedTokens(start, behind), "parts after a gap do not count as cached")
+	require.Equal(t, 1300, cache.uncachedTokens(start.Add(cacheTTL), []PromptPart{{ID: "shared", Tokens: 1000}, {ID: "session", Tokens: 300}}))
+	require.Equal(t, 1000, cache.uncachedTokens(start, []PromptPart{{ID: "new", Tokens: 1000}}))
 }
