--- a/internal/instancespeed/aggregator.go
+++ b/internal/instancespeed/aggregator.go
@@ -9,213 +9,215 @@
 )
 
 const (
-	// sourceLife is how long figures count after the last report of their source.
-	sourceLife = 10 * time.Second
-	// leastWeight is the number of observations below which figures are forgotten.
-	leastWeight = 0.05
-	// surveyInterval is how often all instances are looked at for those to tell of first.
-	surveyInterval = 250 * time.Millisecond
-	// mostOfSource bounds the instances of which one source's figures are kept.
-	mostOfSource = 1024
-	// newsShare is the part of a report, one in so many, that is kept for the instances that
-	// are most unlike their stable speed just now; the rest goes to all in turn.
-	newsShare = 3
+	// sourceTTL is how long a source's statistics are used after its last report.
+	sourceTTL = 10 * time.Second
+	// minWeight is the decayed number of observations below which statistics are dropped.
+	minWeight = 0.05
+	// scanInterval is how often all instances are scanned for those to report first.
+	scanInterval = 250 * time.Millisecond
+	// maxEntriesPerSource bounds the instances for which one source's statistics are kept.
+	maxEntriesPerSource = 1024
+	// prioritizedDivisor reserves 1/prioritizedDivisor of a report for the instances that currently
+	// deviate most from their stable speed; the rest goes to all instances in round-robin order.
+	prioritizedDivisor = 3
 )
 
-// Entry is what a report tells of one instance.
+// Entry is the part of a report about one instance.
 type Entry struct {
 	Key        Key
 	Statistics Statistics
 }
 
-// record is what is known of one instance; all figures are of the moment at.
+// record holds the statistics of one instance, decayed up to the time at.
 type record struct {
 	at time.Time
-	// own are this gateway's observations, zone those of the own zone's gateways with them, all
-	// those of other zones as well.
-	own, zone, all Statistics
+	// local are this gateway's observations, zone those of all gateways of its zone, all those of
+	// other zones as well.
+	local, zone, all Statistics
 }
 
-// advance brings the figures to a later moment.
+// advance decays the statistics up to a later time.
 func (r *record) advance(now time.Time) {
 	elapsed := now.Sub(r.at)
 	if elapsed <= 0 {
 		return
 	}
-	r.own, r.zone, r.all = r.own.after(elapsed), r.zone.after(elapsed), r.all.after(elapsed)
+	r.local, r.zone, r.all = r.local.decayed(elapsed), r.zone.decayed(elapsed), r.all.decayed(elapsed)
 	r.at = now
 }
 
-// add counts figures of a source, or takes them off with a factor of -1.
-func (r *record) add(source tally.Source, figures Statistics, factor float64) {
+// add adds a source's statistics, or subtracts them with a factor of -1.
+func (r *record) add(source tally.Source, statistics Statistics, factor float64) {
 	if source.Zone == "" {
-		r.zone = r.zone.plus(figures, factor)
+		r.zone = r.zone.plus(statistics, factor)
 	}
-	r.all = r.all.plus(figures, factor)
+	r.all = r.all.plus(statistics, factor)
 }
 
-// told is what a source said of an instance, and when.
-type told struct {
-	figures Statistics
-	at      time.Time
+// timedStatistics are a source's statistics of an instance with the time of the report.
+type timedStatistics struct {
+	statistics Statistics
+	at         time.Time
 }
 
-// reporter is a source of figures.
-type reporter struct {
-	version tally.Version
-	heardAt time.Time
-	told    map[Key]told
+// sourceState holds the reports of a source.
+type sourceState struct {
+	version    tally.Version
+	lastReport time.Time
+	entries    map[Key]timedStatistics
 }
 
-// Aggregator holds the observations of this gateway and what others told of theirs. Each entry of a
-// source replaces what that source said of the instance before, so lost and repeated reports
-// leave no error behind; figures fade with their age. It is not safe for concurrent use.
+// Aggregator holds the observations of this gateway and those that others report. Each entry of a
+// source replaces its previous entry for the instance, so lost and duplicated reports cause no
+// lasting error. All statistics decay with age. It is not safe for concurrent use.
 type Aggregator struct {
-	records   map[Key]*record
-	reporters map[tally.Source]*reporter
-	// surveyedAt is when all instances were looked at last. ownNews and zoneNews are those to
-	// tell of first, order are all others' turns; next is whose turn it is.
-	surveyedAt        time.Time
-	ownNews, zoneNews []Key
-	order             []Key
-	nextOwn, nextZone int
+	records map[Key]*record
+	sources map[tally.Source]*sourceState
+	// scannedAt is the time of the last scan of all instances. localFirst and zoneFirst are the
+	// instances to report first, order is the round-robin order of all instances; nextLocal and
+	// nextZone are the positions in it.
+	scannedAt             time.Time
+	localFirst, zoneFirst []Key
+	order                 []Key
+	nextLocal, nextZone   int
 }
 
-// NewAggregator returns a board that knows nothing.
+// NewAggregator returns an empty aggregator.
 func NewAggregator() *Aggregator {
-	return &Aggregator{records: map[Key]*record{}, reporters: map[tally.Source]*reporter{}}
+	return &Aggregator{records: map[Key]*record{}, sources: map[tally.Source]*sourceState{}}
 }
 
-// of returns the record of an instance at the given time.
-func (b *Aggregator) of(now time.Time, key Key) *record {
-	known := b.records[key]
+// recordOf returns the record of an instance, decayed up to now. It creates the record if
+// necessary.
+func (a *Aggregator) recordOf(now time.Time, key Key) *record {
+	known := a.records[key]
 	if known == nil {
 		known = &record{at: now}
-		b.records[key] = known
-		b.order = append(b.order, key)
+		a.records[key] = known
+		a.order = append(a.order, key)
 	}
 	known.advance(now)
 	return known
 }
 
-// observe adds own figures of an instance.
-func (b *Aggregator) observe(now time.Time, key Key, figures Statistics) {
-	known := b.of(now, key)
-	known.own = known.own.plus(figures, 1)
-	known.add(tally.Source{}, figures, 1)
+// observe adds local statistics of an instance.
+func (a *Aggregator) observe(now time.Time, key Key, statistics Statistics) {
+	known := a.recordOf(now, key)
+	known.local = known.local.plus(statistics, 1)
+	known.add(tally.Source{}, statistics, 1)
 }
 
-// Observe adds a request that was so much slower than usual, as a logarithm, and counts as so
-// many.
-func (b *Aggregator) Observe(now time.Time, key Key, slower, weight float64) {
-	slower = max(-mostSlower, min(mostSlower, slower))
-	seen := WeightedSum{Weight: weight, Sum: weight * slower}
-	b.observe(now, key, Statistics{Stable: seen, Recent: seen})
+// Observe adds a request that was slower than usual by logSlowdown, a logarithm, with the given
+// weight.
+func (a *Aggregator) Observe(now time.Time, key Key, logSlowdown, weight float64) {
+	logSlowdown = max(-maxLogSlowdown, min(maxLogSlowdown, logSlowdown))
+	sum := WeightedSum{Weight: weight, Sum: weight * logSlowdown}
+	a.observe(now, key, Statistics{Stable: sum, Recent: sum})
 }
 
-// ObserveOverdue adds a request that has taken at least so much longer than usual and goes on. It
-// counts for the moment only: the request's end will tell what it was.
-func (b *Aggregator) ObserveOverdue(now time.Time, key Key, slower, weight float64) {
-	slower = max(-mostSlower, min(mostSlower, slower))
-	b.observe(now, key, Statistics{Recent: WeightedSum{Weight: weight, Sum: weight * slower}})
+// ObserveOverdue adds a running request that has already taken longer than usual by logSlowdown. It
+// affects only the recent statistics, because the end of the request will be observed as well.
+func (a *Aggregator) ObserveOverdue(now time.Time, key Key, logSlowdown, weight float64) {
+	logSlowdown = max(-maxLogSlowdown, min(maxLogSlowdown, logSlowdown))
+	a.observe(now, key, Statistics{Recent: WeightedSum{Weight: weight, Sum: weight * logSlowdown}})
 }
 
-// ObserveFailure adds a failure of an instance, Refused a refusal for lack of room.
-func (b *Aggregator) ObserveFailure(now time.Time, key Key) {
-	b.observe(now, key, Statistics{Failed: 1})
+// ObserveFailure adds a failure of an instance, ObserveRefusal a refusal for lack of capacity.
+func (a *Aggregator) ObserveFailure(now time.Time, key Key) {
+	a.observe(now, key, Statistics{Failed: 1})
 }
-func (b *Aggregator) ObserveRefusal(now time.Time, key Key) {
-	b.observe(now, key, Statistics{Refused: 1})
+func (a *Aggregator) ObserveRefusal(now time.Time, key Key) {
+	a.observe(now, key, Statistics{Refused: 1})
 }
 
-// Estimate returns what is believed of an instance.
-func (b *Aggregator) Estimate(now time.Time, key Key) Estimate {
-	known := b.records[key]
+// Estimate returns the estimated speed and failure rates of an instance.
+func (a *Aggregator) Estimate(now time.Time, key Key) Estimate {
+	known := a.records[key]
 	if known == nil {
 		return Estimate{}
 	}
 	known.advance(now)
-	return known.all.view()
+	return known.all.estimate()
 }
 
-// ApplyReport applies what a source told. Reports that are older than what it said before are passed
-// over.
-func (b *Aggregator) ApplyReport(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
-	b.expire(now)
-	known := b.reporters[source]
+// ApplyReport applies a source's report. Reports that are older than the source's last one are
+// ignored.
+func (a *Aggregator) ApplyReport(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
+	a.expire(now)
+	known := a.sources[source]
 	if known == nil {
-		known = &reporter{told: map[Key]told{}}
-		b.reporters[source] = known
+		known = &sourceState{entries: map[Key]timedStatistics{}}
+		a.sources[source] = known
 	}
 	// The reports of a zone come from all of its gateways, whose versions have no common order.
 	if source.Zone == "" && version.Before(known.version) {
 		return
 	}
-	known.version, known.heardAt = version, now
+	known.version, known.lastReport = version, now
 	for _, entry := range entries {
-		if _, replaces := known.told[entry.Key]; !replaces && len(known.told) >= mostOfSource {
+		if _, exists := known.entries[entry.Key]; !exists && len(known.entries) >= maxEntriesPerSource {
 			continue
 		}
-		record := b.of(now, entry.Key)
-		b.takeBack(now, source, known, entry.Key)
+		record := a.recordOf(now, entry.Key)
+		a.subtract(now, source, known, entry.Key)
 		record.add(source, entry.Statistics, 1)
-		known.told[entry.Key] = told{figures: entry.Statistics, at: now}
+		known.entries[entry.Key] = timedStatistics{statistics: entry.Statistics, at: now}
 	}
 }
 
-// takeBack takes off what a source said of an instance.
-func (b *Aggregator) takeBack(now time.Time, source tally.Source, known *reporter, key Key) {
-	if before, counted := known.told[key]; counted {
-		b.of(now, key).add(source, before.figures.after(now.Sub(before.at)), -1)
-		delete(known.told, key)
+// subtract removes a source's statistics of an instance from the sums.
+func (a *Aggregator) subtract(now time.Time, source tally.Source, known *sourceState, key Key) {
+	if before, counted := known.entries[key]; counted {
+		a.recordOf(now, key).add(source, before.statistics.decayed(now.Sub(before.at)), -1)
+		delete(known.entries, key)
 	}
 }
 
-// expire drops the sources that have been silent for too long.
-func (b *Aggregator) expire(now time.Time) {
-	for source, known := range b.reporters {
-		if now.Sub(known.heardAt) <= sourceLife {
+// expire drops the sources without a report for sourceTTL.
+func (a *Aggregator) expire(now time.Time) {
+	for source, known := range a.sources {
+		if now.Sub(known.lastReport) <= sourceTTL {
 			continue
 		}
-		for key := range known.told {
-			b.takeBack(now, source, known, key)
+		for key := range known.entries {
+			a.subtract(now, source, known, key)
 		}
-		delete(b.reporters, source)
+		delete(a.sources, source)
 	}
 }
 
-// LocalEntries returns at most so many entries of this gateway's observations, Zone of those of the own
-// zone together: the instances first that are most unlike their stable speed just now or fail,
-// then others in turn.
-func (b *Aggregator) LocalEntries(now time.Time, most int) []Entry {
-	b.survey(now, most)
-	return b.entries(now, most, b.ownNews, &b.nextOwn, func(known *record) Statistics { return known.own })
+// LocalEntries returns at most limit entries of this gateway's observations: first the instances
+// that currently deviate most from their stable speed or fail, then others in round-robin order.
+func (a *Aggregator) LocalEntries(now time.Time, limit int) []Entry {
+	a.scan(now, limit)
+	return a.entries(now, limit, a.localFirst, &a.nextLocal, func(known *record) Statistics { return known.local })
 }
 
-// ZoneEntries returns entries of the own zone; see Own.
-func (b *Aggregator) ZoneEntries(now time.Time, most int) []Entry {
-	b.survey(now, most)
-	return b.entries(now, most, b.zoneNews, &b.nextZone, func(known *record) Statistics { return known.zone })
+// ZoneEntries returns entries of the observations of all gateways of this gateway's zone; see
+// LocalEntries.
+func (a *Aggregator) ZoneEntries(now time.Time, limit int) []Entry {
+	a.scan(now, limit)
+	return a.entries(now, limit, a.zoneFirst, &a.nextZone, func(known *record) Statistics { return known.zone })
 }
 
-// entries returns the entries of the given instances and then of others in turn.
-func (b *Aggregator) entries(now time.Time, most int, first []Key, next *int, of func(*record) Statistics) []Entry {
-	entries := make([]Entry, 0, most)
+// entries returns the entries of the given instances, then those of others in round-robin order.
+func (a *Aggregator) entries(now time.Time, limit int, first []Key, next *int, statisticsOf func(*record) Statistics) []Entry {
+	entries := make([]Entry, 0, limit)
 	add := func(key Key) {
-		known := b.records[key]
+		known := a.records[key]
 		if known == nil {
 			return
 		}
 		known.advance(now)
-		if figures := of(known); figures.isTold() {
-			entries = append(entries, Entry{Key: key, Statistics: figures})
+		if statistics := statisticsOf(known); statistics.isSignificant() {
+			entries = append(entries, Entry{Key: key, Statistics: statistics})
 		}
 	}
 	for _, key := range first {
 		add(key)
 	}
-	for step := 0; step < len(b.order) && len(entries) < most; step++ {
-		key := b.order[*next%len(b.order)]
+	for step := 0; step < len(a.order) && len(entries) < limit; step++ {
+		key := a.order[*next%len(a.order)]
 		*next++
 		if !slices.Contains(first, key) {
 			add(key)
@@ -224,64 +226,64 @@
 	return entries
 }
 
-// isTold reports whether figures say anything.
-func (f Statistics) isTold() bool {
-	return f.Stable.Weight >= leastWeight || f.Recent.Weight+f.Failed+f.Refused >= leastWeight
+// isSignificant reports whether the statistics contain enough observations to be kept.
+func (s Statistics) isSignificant() bool {
+	return s.Stable.Weight >= minWeight || s.Recent.Weight+s.Failed+s.Refused >= minWeight
 }
 
-// news returns how much others would change their belief by what is new in the figures.
-func (f Statistics) news() float64 {
-	seen := f.view()
-	return max(seen.Transient, -seen.Transient) + seen.FailureRate + seen.RefusalRate
+// deviation returns how much the recent statistics change the estimate of an instance.
+func (s Statistics) deviation() float64 {
+	estimate := s.estimate()
+	return max(estimate.Transient, -estimate.Transient) + estimate.FailureRate + estimate.RefusalRate
 }
 
-// survey forgets what no longer counts, and finds the instances to tell of first, unless it did
-// so moments ago.
-func (b *Aggregator) survey(now time.Time, most int) {
-	if now.Sub(b.surveyedAt) < surveyInterval {
+// scan drops expired records and finds the instances to report first. It does nothing within
+// scanInterval of the last scan.
+func (a *Aggregator) scan(now time.Time, limit int) {
+	if now.Sub(a.scannedAt) < scanInterval {
 		return
 	}
-	b.surveyedAt = now
-	b.expire(now)
-	b.order = b.order[:0]
-	for key, known := range b.records {
+	a.scannedAt = now
+	a.expire(now)
+	a.order = a.order[:0]
+	for key, known := range a.records {
 		known.advance(now)
-		if !known.all.isTold() && !b.isHeld(key) {
-			delete(b.records, key)
+		if !known.all.isSignificant() && !a.isReported(key) {
+			delete(a.records, key)
 			continue
 		}
-		b.order = append(b.order, key)
+		a.order = append(a.order, key)
 	}
-	slices.Sort(b.order)
-	b.ownNews = b.foremost(most/newsShare, func(known *record) Statistics { return known.own })
-	b.zoneNews = b.foremost(most/newsShare, func(known *record) Statistics { return known.zone })
+	slices.Sort(a.order)
+	a.localFirst = a.mostDeviating(limit/prioritizedDivisor, func(known *record) Statistics { return known.local })
+	a.zoneFirst = a.mostDeviating(limit/prioritizedDivisor, func(known *record) Statistics { return known.zone })
 }
 
-// isHeld reports whether any source's figures of an instance are still counted.
-func (b *Aggregator) isHeld(key Key) bool {
-	for _, known := range b.reporters {
-		if _, held := known.told[key]; held {
+// isReported reports whether statistics of any source for an instance are still included.
+func (a *Aggregator) isReported(key Key) bool {
+	for _, known := range a.sources {
+		if _, held := known.entries[key]; held {
 			return true
 		}
 	}
 	return false
 }
 
-// foremost returns the instances with most news, at most so many.
-func (b *Aggregator) foremost(most int, of func(*record) Statistics) []Key {
+// mostDeviating returns at most limit instances with the largest deviation.
+func (a *Aggregator) mostDeviating(limit int, statisticsOf func(*record) Statistics) []Key {
 	type ranked struct {
-		key  Key
-		news float64
+		key       Key
+		deviation float64
 	}
-	first := make([]ranked, 0, most+1)
-	for _, key := range b.order {
-		candidate := ranked{key, of(b.records[key]).news()}
-		if candidate.news < leastNews || len(first) == most && first[most-1].news >= candidate.news {
+	first := make([]ranked, 0, limit+1)
+	for _, key := range a.order {
+		candidate := ranked{key, statisticsOf(a.records[key]).deviation()}
+		if candidate.deviation < minDeviation || len(first) == limit && first[limit-1].deviation >= candidate.deviation {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(first, candidate, func(a, b ranked) int { return -cmp.Compare(a.news, b.news) })
+		at, _ := slices.BinarySearchFunc(first, candidate, func(a, b ranked) int { return -cmp.Compare(a.deviation, b.deviation) })
 		first = slices.Insert(first, at, candidate)
-		first = first[:min(most, len(first))]
+		first = first[:min(limit, len(first))]
 	}
 	keys := make([]Key, len(first))
 	for i, known := range first {
@@ -290,9 +292,11 @@
 	return keys
 }
 
-// leastNews is the change of a belief, as a logarithm or a share, that is told first.
-const leastNews = 0.1
+// minDeviation is the deviation, as a logarithm or a rate, from which an instance is reported
+// first.
+const minDeviation = 0.1
 
-// InstanceCount returns how many instances there are observations of, Reporters how many sources count.
-func (b *Aggregator) InstanceCount() int { return len(b.records) }
-func (b *Aggregator) SourceCount() int   { return len(b.reporters) }
+// InstanceCount returns the number of instances with observations, SourceCount the number of
+// sources whose reports are included.
+func (a *Aggregator) InstanceCount() int { return len(a.records) }
+func (a *Aggregator) SourceCount() int   { return len(a.sources) }
--- a/internal/instancespeed/aggregator_test.go
+++ b/internal/instancespeed/aggregator_test.go
@@ -14,18 +14,18 @@
 
 var start = time.Unix(1000, 0)
 
-// observed is a board with so many observations of one instance.
-func observed(key Key, count int, slower float64) *Aggregator {
+// aggregatorWith returns an aggregator with count observations of one instance.
+func aggregatorWith(key Key, count int, logSlowdown float64) *Aggregator {
 	b := NewAggregator()
 	for range count {
-		b.Observe(start, key, slower, 1)
+		b.Observe(start, key, logSlowdown, 1)
 	}
 	return b
 }
 
-// Whatever reports are lost, doubled or out of order: once each source's newest report came, the
-// belief is that of their newest figures.
-func TestLostDoubledAndReorderedReportsLeaveNoTrace(t *testing.T) {
+// Once the newest report of each source has arrived, the estimate depends only on those reports,
+// whatever earlier ones were lost, duplicated or reordered.
+func TestLostDuplicatedAndReorderedReportsLeaveNoError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const sources = 3
 		entry := func(number int) []Entry {
@@ -47,23 +47,23 @@
 	})
 }
 
-func TestASilentGatewayStopsCounting(t *testing.T) {
+func TestSilentSourceExpires(t *testing.T) {
 	b := NewAggregator()
-	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 50, 1).LocalEntries(start, 24))
+	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, aggregatorWith(1, 50, 1).LocalEntries(start, 24))
 	require.Greater(t, b.Estimate(start, 1).Stable, 0.5)
-	later := start.Add(sourceLife + time.Second)
+	later := start.Add(sourceTTL + time.Second)
 	b.ApplyReport(later, tally.Source{Gateway: "b"}, tally.Version{Number: 1}, nil)
 	require.InDelta(t, 0, b.Estimate(later, 1).Stable, 1e-9)
 }
 
-func TestAnInstanceThatStartsAgainIsKnownByNothing(t *testing.T) {
-	b := observed(KeyOf("e1", "a:1", 5), 100, 1.5)
+func TestRestartedInstanceHasNewKey(t *testing.T) {
+	b := aggregatorWith(KeyOf("e1", "a:1", 5), 100, 1.5)
 	require.Zero(t, b.Estimate(start, KeyOf("e1", "a:1", 6)))
-	require.NotEqual(t, KeyOf("e1", "a:1", 0), KeyOf("e1", "a:2", 0), "without a start the address tells lives apart")
+	require.NotEqual(t, KeyOf("e1", "a:1", 0), KeyOf("e1", "a:2", 0), "without a start time the key depends on the address")
 }
 
-func TestAMomentIsKeptApartFromTheStableSpeed(t *testing.T) {
-	b := observed(1, 200, 0.5)
+func TestTransientSlowdownIsSeparateFromStableSpeed(t *testing.T) {
+	b := aggregatorWith(1, 200, 0.5)
 	now := start.Add(10 * time.Second)
 	for range 60 {
 		b.Observe(now, 1, 2, 1)
@@ -71,22 +71,22 @@
 	slow := b.Estimate(now, 1)
 	require.Greater(t, slow.Transient, 0.7)
 	later := b.Estimate(now.Add(8*time.Second), 1)
-	require.Less(t, later.Transient, slow.Transient/4, "it is tried again")
-	require.InDelta(t, slow.Stable, later.Stable, 0.1, "the stable speed stays known")
+	require.Less(t, later.Transient, slow.Transient/4, "the slowdown decays, so the instance is tried again")
+	require.InDelta(t, slow.Stable, later.Stable, 0.1, "the stable speed is kept")
 }
 
-func TestAReportIsBounded(t *testing.T) {
-	const most, largest = 24, 300
+func TestReportSizeIsBounded(t *testing.T) {
+	const limit, maxBytes = 24, 300
 	b := NewAggregator()
 	for key := range Key(10_000) {
 		b.Observe(start, key, float64(key%5)-2, 1)
 	}
-	require.LessOrEqual(t, len(Encode(b.LocalEntries(start, most))), largest)
-	require.LessOrEqual(t, len(Encode(b.ZoneEntries(start, most))), largest)
+	require.LessOrEqual(t, len(Encode(b.LocalEntries(start, limit))), maxBytes)
+	require.LessOrEqual(t, len(Encode(b.ZoneEntries(start, limit))), maxBytes)
 }
 
-func TestWhatChangedIsToldFirstAndAllInTurn(t *testing.T) {
-	const instances, most = 90, 24
+func TestReportsPrioritizeChangesAndRotateOthers(t *testing.T) {
+	const instances, limit = 90, 24
 	b := NewAggregator()
 	for key := range Key(instances) {
 		b.Observe(start, key, 0, 1)
@@ -95,27 +95,27 @@
 		b.Observe(start, 70, 2, 1)
 	}
 	now := start.Add(time.Second)
-	told := map[Key]bool{}
-	for range 1 + instances/(most-most/newsShare) {
-		entries := b.LocalEntries(now, most)
+	reported := map[Key]bool{}
+	for range 1 + instances/(limit-limit/prioritizedDivisor) {
+		entries := b.LocalEntries(now, limit)
 		require.Equal(t, Key(70), entries[0].Key)
 		for _, entry := range entries {
-			told[entry.Key] = true
+			reported[entry.Key] = true
 		}
 	}
-	require.Len(t, told, instances)
+	require.Len(t, reported, instances)
 }
 
-// A zone's report holds its gateways' observations, not what other zones told: that would be
-// counted twice there.
-func TestAZoneTellsItsOwnObservationsOnly(t *testing.T) {
-	b := observed(1, 4, 1)
-	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, observed(1, 4, 1).LocalEntries(start, 24))
-	b.ApplyReport(start, tally.Source{Zone: "z"}, tally.Version{Number: 1}, observed(1, 50, 1).LocalEntries(start, 24))
+// A zone's report contains only its own gateways' observations. Observations of other zones would
+// be counted twice there.
+func TestZoneReportExcludesOtherZones(t *testing.T) {
+	b := aggregatorWith(1, 4, 1)
+	b.ApplyReport(start, tally.Source{Gateway: "a"}, tally.Version{Number: 1}, aggregatorWith(1, 4, 1).LocalEntries(start, 24))
+	b.ApplyReport(start, tally.Source{Zone: "z"}, tally.Version{Number: 1}, aggregatorWith(1, 50, 1).LocalEntries(start, 24))
 	require.InDelta(t, 8, b.ZoneEntries(start, 24)[0].Statistics.Stable.Weight, 0.3)
 }
 
-func TestEntriesTravelWhole(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	sent := []Entry{{Key: KeyOf("e1", "a:1", 7), Statistics: Statistics{
 		Stable: WeightedSum{Weight: 300, Sum: -150}, Recent: WeightedSum{Weight: 7, Sum: 14}, Failed: 2, Refused: 0.1,
 	}}}
@@ -127,11 +127,12 @@
 	require.InEpsilon(t, 2, read[0].Statistics.Recent.mean(0, 0), 0.05)
 	require.InEpsilon(t, 2, read[0].Statistics.Failed, 0.05)
 	_, err = Decode(Encode(sent)[1:])
-	require.ErrorIs(t, err, errLength)
+	require.ErrorIs(t, err, errTruncated)
 }
 
-// A gateway without processor time sees all instances slow: that is not told of the instances.
-func TestASlowGatewayDoesNotMakeInstancesLookSlow(t *testing.T) {
+// A gateway without CPU time measures long times at all instances, which must not be attributed to
+// the instances.
+func TestSlowGatewayDoesNotAffectInstanceSpeeds(t *testing.T) {
 	m := NewModel()
 	b := NewAggregator()
 	now := start
@@ -143,8 +144,8 @@
 			if key == 3 {
 				speed = 4
 			}
-			slower := m.Observe(now, Sample{Kind: "k", UnitTime: time.Duration(delay * speed * float64(10*time.Millisecond)), Duration: time.Second, Slots: 6, Estimate: b.Estimate(now, key)})
-			b.Observe(now, key, slower, 1)
+			logSlowdown := m.Observe(now, Sample{Kind: "k", UnitTime: time.Duration(delay * speed * float64(10*time.Millisecond)), Duration: time.Second, Slots: 6, Estimate: b.Estimate(now, key)})
+			b.Observe(now, key, logSlowdown, 1)
 		}
 	}
 	send(400, 1)
--- a/internal/instancespeed/wire.go
+++ b/internal/instancespeed/wire.go
@@ -6,22 +6,23 @@
 	"math"
 )
 
-// An entry travels in 12 bytes: six of its key, and one for each of the two weights and means and
-// for failures and refusals. Weights are told to a tenth, means to a thirty-second.
+// An entry is encoded in 12 bytes: six for its key, and one each for the two weights, the two
+// means, the failures and the refusals. Weights have a resolution of about a tenth, means of a
+// thirty-second.
 const (
 	keyBytes   = keyBits / 8
 	entryBytes = keyBytes + 6
-	// weightSteps is how many steps a doubling of a weight has, weightZero the step of the
+	// weightSteps is the number of steps per doubling of a weight, weightZero the step of the
 	// weight 1.
 	weightSteps = 8
 	weightZero  = 64
 	meanSteps   = 32
 )
 
-// errLength says that encoded entries have no proper length.
-var errLength = errors.New("instancespeed: entries are cut off")
+// errTruncated is returned when the length of encoded entries is not a multiple of entryBytes.
+var errTruncated = errors.New("instancespeed: encoded entries are truncated")
 
-// Encode returns entries as they travel, nil if there are none.
+// Encode returns the wire format of entries, nil if there are none.
 func Encode(entries []Entry) []byte {
 	var encoded []byte
 	for _, entry := range entries {
@@ -35,26 +36,26 @@
 	return encoded
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes the output of Encode. It returns an error if the entries are truncated.
 func Decode(encoded []byte) ([]Entry, error) {
 	if len(encoded)%entryBytes != 0 {
-		return nil, errLength
+		return nil, errTruncated
 	}
 	entries := make([]Entry, 0, len(encoded)/entryBytes)
 	for ; len(encoded) > 0; encoded = encoded[entryBytes:] {
 		var key [8]byte
 		copy(key[8-keyBytes:], encoded)
-		figures := encoded[keyBytes:entryBytes]
+		statistics := encoded[keyBytes:entryBytes]
 		entries = append(entries, Entry{Key: Key(binary.BigEndian.Uint64(key[:])), Statistics: Statistics{
-			Stable: evidenceOf(figures[0], figures[1]), Recent: evidenceOf(figures[2], figures[3]),
-			Failed: weightOf(figures[4]), Refused: weightOf(figures[5]),
+			Stable: weightedSumOf(statistics[0], statistics[1]), Recent: weightedSumOf(statistics[2], statistics[3]),
+			Failed: weightOf(statistics[4]), Refused: weightOf(statistics[5]),
 		}})
 	}
 	return entries, nil
 }
 
 func weightByte(weight float64) byte {
-	if weight < leastWeight {
+	if weight < minWeight {
 		return 0
 	}
 	return byte(max(1, min(math.MaxUint8, math.Round(weightSteps*math.Log2(weight))+weightZero)))
@@ -67,15 +68,15 @@
 	return math.Exp2((float64(encoded) - weightZero) / weightSteps)
 }
 
-func meanByte(evidence WeightedSum) byte {
-	mean := evidence.mean(0, 0)
+func meanByte(sum WeightedSum) byte {
+	mean := sum.mean(0, 0)
 	if math.IsNaN(mean) || math.IsInf(mean, 0) {
 		mean = 0
 	}
 	return byte(int8(max(math.MinInt8, min(math.MaxInt8, math.Round(meanSteps*mean)))))
 }
 
-func evidenceOf(weight, mean byte) WeightedSum {
+func weightedSumOf(weight, mean byte) WeightedSum {
 	count := weightOf(weight)
 	return WeightedSum{Weight: count, Sum: count * float64(int8(mean)) / meanSteps}
 }
