--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -271,7 +271,7 @@
 }
 
 // reportTTL returns how long a load report is used. It grows with the number of sources, because
-// each one is then heard from less often.
+// each one then reports less often to this gateway.
 func (d *Directory) reportTTL() time.Duration {
 	const sourcesAtOnce = 8
 	return baseReportTTL * time.Duration(1+len(d.reports)/sourcesAtOnce)
--- a/internal/coldstart/share.go
+++ b/internal/coldstart/share.go
@@ -1,16 +1,16 @@
-// Package coldstart bounds what a fleet of gateways sends to a cold instance in one second.
-// An instance is cold for a while after its start, and may become cold again; it then
-// withstands a fraction of its usual rate and collapses above it.
+// Package coldstart limits the requests that a fleet of gateways sends to a cold instance in one
+// second. An instance is cold for a while after its start, and may become cold again. While cold it
+// can serve only a fraction of its usual rate and collapses above that.
 //
-// A place is one unit of a cold instance's rate limit: the instance has as many places as
-// requests may reach it in one second (Policy.InSecond). Gateways do not coordinate: rendezvous
-// hashing divides the places among the gateways that the registry lists, most of them among
-// those of the instance's own zone (Share). A send takes a place until a second after its
-// answer began (Gate). All sends that arrive within one second therefore hold a place at its
-// end, however late they arrive, and the places of all gateways together are bounded. Network
+// A place is one unit of a cold instance's rate limit: the instance has as many places as requests
+// may reach it in one second (Policy.MaxPerWindow). Gateways do not coordinate: rendezvous hashing
+// divides the places among the gateways that the registry lists, most of them among those of the
+// instance's own zone (Share). A request holds a place until one second after its response started
+// (Limiter). All requests that arrive within one second therefore hold a place at its end, however
+// late they arrive, and the number of places of all gateways together is bounded. Network
 // partitions and lost messages leave places unused, and never add any.
 //
-// Everything here is pure: time comes in with each call.
+// The package is pure: callers pass the time.
 package coldstart
 
 import (
@@ -20,56 +20,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Gateway is a gateway that the registry lists.
+// Gateway is a gateway listed in the registry.
 type Gateway struct {
 	Name string
 	Zone string
 	hash uint64
 }
 
-// Limit is what a cold instance of a service withstands.
+// Limit is the rate limit of a service's cold instances.
 type Limit struct {
-	// PerSecond is in requests from all gateways together; 0 is no limit.
+	// PerSecond is the limit in requests per second from all gateways together; 0 means no limit.
 	PerSecond float64
 }
 
-// Policy is how exactly limits must hold.
+// Policy is the tolerance of rate limits.
 type Policy struct {
-	// Overage is the factor by which an instance may get more than its limit in a second,
-	// Slack a number of requests on top of that.
+	// Overage is the factor by which the requests of one second may exceed the limit, Slack a
+	// number of requests allowed on top of that.
 	Overage float64
 	Slack   float64
 }
 
-// MaxPerWindow returns how many requests may arrive at a cold instance in any one second.
+// MaxPerWindow returns the number of requests that may arrive at a cold instance in any one second.
 func (p Policy) MaxPerWindow(limit Limit) int {
 	return int(math.Floor(limit.PerSecond*p.Overage + p.Slack))
 }
 
 const (
-	// maxDisagreement and disagreementDivisor bound by how many members the gateways' lists of
-	// each other may differ: an eighth of the list, and at most four. Lists differ longer
-	// than settleTime only at gateways that are cut off, and few are at once.
-	maxDisagreement     = 4
-	disagreementDivisor = 8
-	// marginDivisor bounds the places kept for disagreement to half of the bound: a bound of
+	// maxMembershipDifference and membershipDifferenceDivisor bound the number of members by which
+	// the gateways' lists of each other may differ: an eighth of the list, and at most four. Lists
+	// differ for longer than settlePeriod only at gateways that are partitioned, and few are at the
+	// same time.
+	maxMembershipDifference     = 4
+	membershipDifferenceDivisor = 8
+	// marginDivisor bounds the places reserved for differing lists to half of the limit: a limit of
 	// few requests must still let some through.
 	marginDivisor = 2
 )
 
-// disagreement returns by how many members other gateways' lists may differ from a list of so
-// many gateways.
-func disagreement(gateways, bound int) int {
-	return min(maxDisagreement, (gateways+disagreementDivisor-1)/disagreementDivisor, bound/marginDivisor)
+// membershipDifference returns the number of members by which other gateways' lists may differ from
+// a list of the given length.
+func membershipDifference(gateways, bound int) int {
+	return min(maxMembershipDifference, (gateways+membershipDifferenceDivisor-1)/membershipDifferenceDivisor, bound/marginDivisor)
 }
 
-// ownZoneShare is the part of an instance's places that belongs to the gateways of its own
-// zone: the path there is cheapest for them, so they use more of their places.
+// ownZoneShare is the fraction of an instance's places that belongs to the gateways of its own
+// zone: they have the cheapest path to the instance, so they use more of their places.
 const ownZoneShare = 0.85
 
-// Share returns how many of the places of a cold instance belong to one gateway, of all that
-// are listed. Places for the gateways of the instance's zone and for all others are apart, so
-// that the sum is bounded even where lists differ in whether the zone has gateways.
+// Share returns the number of places of a cold instance that belong to one of the listed gateways.
+// The places of the gateways in the instance's zone and those of all others are divided separately,
+// so that the sum is bounded even if lists differ in whether the zone has gateways.
 func Share(gateways []Gateway, self uint64, instance, zone string, bound int) int {
 	zonePlaces := int(math.Ceil(ownZoneShare * float64(bound)))
 	var near, far []uint64
@@ -81,19 +82,19 @@
 		}
 	}
 	hash := xxhash.Sum64String(instance)
-	return divide(near, self, hash, zonePlaces, disagreement(len(gateways), zonePlaces)) +
-		divide(far, self, hash, bound-zonePlaces, disagreement(len(gateways), bound-zonePlaces))
+	return placesOf(near, self, hash, zonePlaces, membershipDifference(len(gateways), zonePlaces)) +
+		placesOf(far, self, hash, bound-zonePlaces, membershipDifference(len(gateways), bound-zonePlaces))
 }
 
-// divide returns how many of an instance's places belong to one of the gateways. They are
-// dealt out in rounds, in the order of the scores.
+// placesOf returns the number of an instance's places that belong to one of the gateways. Places
+// are assigned in rounds, in the order of the scores.
 //
-// As long as lists differ by no more than disagreement, the places sum to at most the bound.
-// A place has a number, its round times the gateways on the list and the gateway's rank. On
-// the list of all gateways that any list has, the number is larger by at most one difference
-// for each round begun, and two places never have the same one. So it is enough that the
-// places dealt out and a difference for each round stay within the bound.
-func divide(gateways []uint64, self, instance uint64, bound, differing int) int {
+// As long as lists differ by at most margin members, the places sum to at most total. A place has a
+// number: its round times the number of gateways on the list, plus the gateway's rank. On the union
+// of all lists, the number is larger by at most margin for each round begun, and no two places have
+// the same number. It is therefore sufficient that the places assigned, plus margin for each round,
+// do not exceed total.
+func placesOf(gateways []uint64, self, instance uint64, total, margin int) int {
 	own, listed, rank := score(self, instance), false, 0
 	for _, gateway := range gateways {
 		switch {
@@ -106,17 +107,17 @@
 	if !listed {
 		return 0
 	}
-	count, dealt := len(gateways), 0
-	for rounds := 1; rounds*count <= bound+count; rounds++ {
-		dealt = max(dealt, min(rounds*count, bound-rounds*differing))
+	count, assigned := len(gateways), 0
+	for rounds := 1; rounds*count <= total+count; rounds++ {
+		assigned = max(assigned, min(rounds*count, total-rounds*margin))
 	}
-	return max(0, (dealt-rank+count-1)/count)
+	return max(0, (assigned-rank+count-1)/count)
 }
 
-// score ranks a gateway for an instance; every gateway computes the same one.
+// score ranks a gateway for an instance by a hash, which is equal at every gateway.
 func score(gateway, instance uint64) uint64 {
-	var both [16]byte
-	binary.LittleEndian.PutUint64(both[:8], gateway)
-	binary.LittleEndian.PutUint64(both[8:], instance)
-	return xxhash.Sum64(both[:])
+	var buffer [16]byte
+	binary.LittleEndian.PutUint64(buffer[:8], gateway)
+	binary.LittleEndian.PutUint64(buffer[8:], instance)
+	return xxhash.Sum64(buffer[:])
 }
