--- a/internal/backend/capacity.go
+++ b/internal/backend/capacity.go
@@ -35,11 +35,11 @@
 func (d *Directory) Capacity(now time.Time, service string) Capacity {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.serviceSpeedOf(service)
+	speed := d.serviceSpeedOf(service)
 	slots, busy := d.slotsOf(now, service)
 	return Capacity{
 		Slots: slots, Busy: busy,
-		Usual: known.duration.durationOr(priorDurationMS), RecentFirst: known.recentFirstEvent.durationOr(0),
+		Usual: speed.duration.durationOr(priorDurationMS), RecentFirst: speed.recentFirstEvent.durationOr(0),
 	}
 }
 
--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -48,8 +48,8 @@
 		d.markUnlisted(now, id, incomplete)
 	}
 	expired := d.expireUnlisted(now)
-	for _, known := range expired {
-		invalidated = append(invalidated, known.instance.ID)
+	for _, m := range expired {
+		invalidated = append(invalidated, m.instance.ID)
 	}
 	d.updateIndexes(moved, expired)
 	d.updateCold(now, changes.Listed, removed)
@@ -77,33 +77,33 @@
 // returns the member if it must be added to the indexes by service and locality. The caller must
 // hold the lock.
 func (d *Directory) upsert(instance Instance) (restarted bool, moved *member) {
-	known := d.members[instance.ID]
-	if known != nil && instance.Born < known.instance.Born && instance.Born != 0 {
+	m := d.members[instance.ID]
+	if m != nil && instance.Born < m.instance.Born && instance.Born != 0 {
 		return false, nil // a stale entry from before a restart
 	}
 	delete(d.unlisted, instance.ID)
 	switch {
-	case known == nil:
-		known = &member{cache: newPromptCache()}
-		moved = known
-	case hasRestarted(known.instance, instance):
-		d.inFlight[known.instance.Service] -= known.inFlight
-		known = &member{cache: newPromptCache()}
-		moved, restarted = known, true
+	case m == nil:
+		m = &member{cache: newPromptCache()}
+		moved = m
+	case hasRestarted(m.instance, instance):
+		d.inFlight[m.instance.Service] -= m.inFlight
+		m = &member{cache: newPromptCache()}
+		moved, restarted = m, true
 		d.dropReports(instance.ID)
-	case known.instance.Service != instance.Service || known.instance.Zone != instance.Zone:
-		d.inFlight[known.instance.Service] -= known.inFlight
-		d.inFlight[instance.Service] += known.inFlight
-		moved = known
+	case m.instance.Service != instance.Service || m.instance.Zone != instance.Zone:
+		d.inFlight[m.instance.Service] -= m.inFlight
+		d.inFlight[instance.Service] += m.inFlight
+		moved = m
 	}
 	if moved != nil {
 		d.remove(instance.ID)
-		d.members[instance.ID] = known
+		d.members[instance.ID] = m
 	}
-	known.instance = instance
-	known.key = instancespeed.KeyOf(instance.ID, instance.Address, instance.Born)
-	known.unlistedUntil = time.Time{}
-	known.evacuated = d.evacuated[instance.Zone]
+	m.instance = instance
+	m.key = instancespeed.KeyOf(instance.ID, instance.Address, instance.Born)
+	m.unlistedUntil = time.Time{}
+	m.evacuated = d.evacuated[instance.Zone]
 	return restarted, moved
 }
 
@@ -126,13 +126,13 @@
 
 // markUnlisted records that an instance is missing from the list. The caller must hold the lock.
 func (d *Directory) markUnlisted(now time.Time, id string, incomplete bool) {
-	known := d.members[id]
-	if known == nil || d.unlisted[id] {
+	m := d.members[id]
+	if m == nil || d.unlisted[id] {
 		return
 	}
 	d.unlisted[id] = true
-	if incomplete && !known.instance.Leaving {
-		known.unlistedUntil = now.Add(unlistedGracePeriod)
+	if incomplete && !m.instance.Leaving {
+		m.unlistedUntil = now.Add(unlistedGracePeriod)
 	}
 }
 
@@ -140,14 +140,14 @@
 // caller must hold the lock.
 func (d *Directory) expireUnlisted(now time.Time) (expired []*member) {
 	for id := range d.unlisted {
-		known := d.members[id]
-		if now.Before(known.unlistedUntil) {
+		m := d.members[id]
+		if now.Before(m.unlistedUntil) {
 			continue
 		}
 		delete(d.unlisted, id)
 		delete(d.members, id)
-		d.inFlight[known.instance.Service] -= known.inFlight
-		expired = append(expired, known)
+		d.inFlight[m.instance.Service] -= m.inFlight
+		expired = append(expired, m)
 	}
 	return expired
 }
@@ -159,13 +159,13 @@
 		d.updateIndexesInBulk(moved, removed)
 		return
 	}
-	for _, known := range removed {
-		d.removeMember(known)
+	for _, m := range removed {
+		d.removeMember(m)
 	}
-	for _, known := range moved {
-		for _, lists := range d.indexesOf(known) {
-			service := known.instance.Service
-			lists[service] = insertSorted(lists[service], known)
+	for _, m := range moved {
+		for _, lists := range d.indexesOf(m) {
+			service := m.instance.Service
+			lists[service] = insertSorted(lists[service], m)
 		}
 	}
 }
@@ -174,25 +174,25 @@
 // hold the lock.
 func (d *Directory) updateIndexesInBulk(moved, removed []*member) {
 	dropped := make(map[*member]bool, len(removed))
-	for _, known := range removed {
-		dropped[known] = true
+	for _, m := range removed {
+		dropped[m] = true
 	}
 	for _, lists := range []map[string][]*member{d.byService, d.sameZone, d.sameRegion} {
 		for service, list := range lists {
-			lists[service] = slices.DeleteFunc(list, func(known *member) bool { return dropped[known] })
+			lists[service] = slices.DeleteFunc(list, func(m *member) bool { return dropped[m] })
 		}
 	}
 	slices.SortFunc(moved, byID)
 	byService, near, regional := map[string][]*member{}, map[string][]*member{}, map[string][]*member{}
-	for _, known := range moved {
-		service := known.instance.Service
-		byService[service] = append(byService[service], known)
-		inZone, inRegion := d.locality(known)
+	for _, m := range moved {
+		service := m.instance.Service
+		byService[service] = append(byService[service], m)
+		inZone, inRegion := d.locality(m)
 		if inZone {
-			near[service] = append(near[service], known)
+			near[service] = append(near[service], m)
 		}
 		if inRegion {
-			regional[service] = append(regional[service], known)
+			regional[service] = append(regional[service], m)
 		}
 	}
 	mergeInto(d.byService, byService)
@@ -223,23 +223,23 @@
 // remove removes the member with an id from the indexes, if there is one. The caller must hold the
 // lock.
 func (d *Directory) remove(id string) {
-	if known := d.members[id]; known != nil {
-		d.removeMember(known)
+	if m := d.members[id]; m != nil {
+		d.removeMember(m)
 	}
 }
 
-func (d *Directory) removeMember(known *member) {
-	for _, lists := range d.indexesOf(known) {
-		service := known.instance.Service
-		lists[service] = removeSorted(lists[service], known)
+func (d *Directory) removeMember(m *member) {
+	for _, lists := range d.indexesOf(m) {
+		service := m.instance.Service
+		lists[service] = removeSorted(lists[service], m)
 	}
 }
 
 // indexesOf returns the indexes that contain a member: by service, and where they apply those of
 // the gateway's zone and region. The caller must hold the lock.
-func (d *Directory) indexesOf(known *member) []map[string][]*member {
+func (d *Directory) indexesOf(m *member) []map[string][]*member {
 	lists := []map[string][]*member{d.byService}
-	inZone, inRegion := d.locality(known)
+	inZone, inRegion := d.locality(m)
 	if inZone {
 		lists = append(lists, d.sameZone)
 	}
@@ -252,21 +252,21 @@
 // locality reports whether a member is indexed as in the gateway's zone, and as in the gateway's
 // region; the latter index is used only if there are several regions. The caller must hold the
 // lock.
-func (d *Directory) locality(known *member) (inZone, inRegion bool) {
-	distance := d.network.places.Distance(d.zone, known.instance.Zone)
+func (d *Directory) locality(m *member) (inZone, inRegion bool) {
+	distance := d.network.places.Distance(d.zone, m.instance.Zone)
 	return distance == place.SameZone, d.severalRegions && distance != place.OtherRegion
 }
 
 // insertSorted adds a member to a list that is sorted by id.
-func insertSorted(list []*member, known *member) []*member {
-	at, _ := slices.BinarySearchFunc(list, known, byID)
-	return slices.Insert(list, at, known)
+func insertSorted(list []*member, m *member) []*member {
+	at, _ := slices.BinarySearchFunc(list, m, byID)
+	return slices.Insert(list, at, m)
 }
 
 // removeSorted removes a member from a list that is sorted by id, if it is present.
-func removeSorted(list []*member, known *member) []*member {
-	at, found := slices.BinarySearchFunc(list, known, byID)
-	if !found || list[at] != known {
+func removeSorted(list []*member, m *member) []*member {
+	at, found := slices.BinarySearchFunc(list, m, byID)
+	if !found || list[at] != m {
 		return list
 	}
 	return slices.Delete(list, at, at+1)
--- a/internal/backend/changes_test.go
+++ b/internal/backend/changes_test.go
@@ -55,8 +55,8 @@
 func entriesOf(lists map[string][]*member) map[string][]Instance {
 	entries := map[string][]Instance{}
 	for service, list := range lists {
-		for _, known := range list {
-			entries[service] = append(entries[service], known.instance)
+		for _, m := range list {
+			entries[service] = append(entries[service], m.instance)
 		}
 	}
 	return entries
@@ -116,23 +116,23 @@
 			after := before
 			test.change(&after)
 			invalidated := d.ApplyChanges(start, Changes{Listed: []Instance{after}}, false)
-			known := d.members["e"]
+			m := d.members["e"]
 			if !test.restarted {
 				require.Empty(t, invalidated)
-				require.Equal(t, 4, known.load(start))
-				require.Zero(t, known.cache.uncachedTokens(start, prompt))
+				require.Equal(t, 4, m.load(start))
+				require.Zero(t, m.cache.uncachedTokens(start, prompt))
 				return
 			}
 			require.Equal(t, []string{"e"}, invalidated, "the caller closes its connections")
-			require.Zero(t, known.load(start))
-			require.Equal(t, 4000, known.cache.uncachedTokens(start, prompt))
+			require.Zero(t, m.load(start))
+			require.Equal(t, 4000, m.cache.uncachedTokens(start, prompt))
 			d.End(start, running, Unreachable)
-			require.Zero(t, known.load(start), "the end of a request from before the restart is ignored")
-			require.True(t, known.avoidUntil.IsZero())
+			require.Zero(t, m.load(start), "the end of a request from before the restart is ignored")
+			require.True(t, m.avoidUntil.IsZero())
 			d.SetRemoteLoads(start, LoadSource{Gateway: "g2"}, map[string]int{"e": 1})
-			require.Equal(t, 1, known.load(start))
+			require.Equal(t, 1, m.load(start))
 			d.ApplyChanges(start, Changes{Listed: []Instance{before}}, false)
-			require.Equal(t, after.Born != 0, d.members["e"] == known, "a late entry from before the restart is ignored")
+			require.Equal(t, after.Born != 0, d.members["e"] == m, "a late entry from before the restart is ignored")
 		})
 	}
 }
--- a/internal/backend/cold.go
+++ b/internal/backend/cold.go
@@ -138,11 +138,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	serving := 0
-	for _, known := range d.byService[service] {
-		if !known.mayServe(now) {
+	for _, m := range d.byService[service] {
+		if !m.mayServe(now) {
 			continue
 		}
-		if !d.cold.Cold(now, known.instance.ID) {
+		if !d.cold.Cold(now, m.instance.ID) {
 			return 0, false, false
 		}
 		serving++
@@ -153,6 +153,6 @@
 
 // coldCost returns the cost of choosing a cold instance, in milliseconds.
 func (d *Directory) coldCost(demand Demand, uncached int) float64 {
-	known := d.serviceSpeedOf(demand.Service)
-	return coldCostShare*known.durationMS()/float64(1+demand.Priority) + coldReadShare*float64(uncached)*known.tokenMS()
+	speed := d.serviceSpeedOf(demand.Service)
+	return coldCostShare*speed.durationMS()/float64(1+demand.Priority) + coldReadShare*float64(uncached)*speed.tokenMS()
 }
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -223,9 +223,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	loads := map[string]int{}
-	for id, known := range d.loaded {
-		load := known.inFlight + known.heldFailures(now)
-		if load == 0 || d.members[id] != known {
+	for id, m := range d.loaded {
+		load := m.inFlight + m.heldFailures(now)
+		if load == 0 || d.members[id] != m {
 			delete(d.loaded, id)
 			continue
 		}
@@ -256,7 +256,7 @@
 func (d *Directory) SetRemoteLoads(now time.Time, source LoadSource, loads map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if before, known := d.reports[source]; known {
+	if before, exists := d.reports[source]; exists {
 		d.intervals.observe(source, now.Sub(before.at))
 	}
 	d.adjustRemote(d.reports[source].loads, -1)
@@ -279,8 +279,8 @@
 
 func (d *Directory) adjustRemote(loads map[string]int, sign int) {
 	for id, requests := range loads {
-		if known := d.members[id]; known != nil {
-			known.remoteInFlight = max(0, known.remoteInFlight+sign*requests)
+		if m := d.members[id]; m != nil {
+			m.remoteInFlight = max(0, m.remoteInFlight+sign*requests)
 		}
 	}
 }
@@ -289,19 +289,19 @@
 func (d *Directory) Observe(now time.Time, choice Choice, observed Observation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.memberOf(choice)
-	if known == nil {
+	m := d.memberOf(choice)
+	if m == nil {
 		return
 	}
 	if choice.byExpectedEnd {
-		d.learnSpeed(now, known, observed)
+		d.learnSpeed(now, m, observed)
 	}
-	slower, ok := d.serviceSpeedOf(known.instance.Service).observe(observed, known.instance.Slots)
+	slower, ok := d.serviceSpeedOf(m.instance.Service).observe(observed, m.instance.Slots)
 	switch {
 	case ok && observed.Events > 0:
-		known.slowness.add(now, slower, slowStreamGain)
+		m.slowness.add(now, slower, slowStreamGain)
 	case ok:
-		known.slowness.add(now, slower, slowPlainGain)
+		m.slowness.add(now, slower, slowPlainGain)
 	}
 }
 
@@ -314,12 +314,12 @@
 
 // serviceSpeedOf returns the estimated speed of a service. The caller must hold the lock.
 func (d *Directory) serviceSpeedOf(service string) *serviceSpeed {
-	known := d.serviceSpeeds[service]
-	if known == nil {
-		known = newServiceSpeed()
-		d.serviceSpeeds[service] = known
+	speed := d.serviceSpeeds[service]
+	if speed == nil {
+		speed = newServiceSpeed()
+		d.serviceSpeeds[service] = speed
 	}
-	return known
+	return speed
 }
 
 // Outcome is what the end of an exchange says about its instance.
@@ -344,35 +344,35 @@
 func (d *Directory) End(now time.Time, choice Choice, outcome Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.memberOf(choice)
-	if known == nil {
+	m := d.memberOf(choice)
+	if m == nil {
 		return
 	}
-	known.inFlight--
-	d.inFlight[known.instance.Service]--
+	m.inFlight--
+	d.inFlight[m.instance.Service]--
 	if choice.byExpectedEnd {
-		d.learnOutcome(now, known, outcome)
+		d.learnOutcome(now, m, outcome)
 	}
 	switch outcome {
 	case Answered:
-		known.resetFailures()
+		m.resetFailures()
 	case Unreachable:
-		known.failures++
-		avoid := min(maxAvoidTime, minAvoidTime<<min(known.failures-1, 4))
-		known.avoidUntil = now.Add(avoid)
+		m.failures++
+		avoid := min(maxAvoidTime, minAvoidTime<<min(m.failures-1, 4))
+		m.avoidUntil = now.Add(avoid)
 	case Full:
-		known.avoidUntil = now.Add(fullBackoff)
+		m.avoidUntil = now.Add(fullBackoff)
 	case Failed:
-		known.decayedFailures = known.recentFailures(now) + 1
-		known.decayedAt = now
+		m.decayedFailures = m.recentFailures(now) + 1
+		m.decayedAt = now
 	}
 }
 
 // memberOf returns the member of a choice, nil if it was removed or has restarted since. The caller
 // must hold the lock.
 func (d *Directory) memberOf(choice Choice) *member {
-	if known := d.members[choice.Instance.ID]; known == choice.member {
-		return known
+	if m := d.members[choice.Instance.ID]; m == choice.member {
+		return m
 	}
 	return nil
 }
--- a/internal/backend/expectedend.go
+++ b/internal/backend/expectedend.go
@@ -53,12 +53,12 @@
 // modelOf returns the model of a service's request times, which excludes the speed of single
 // instances. The caller must hold the lock.
 func (d *Directory) modelOf(service string) *instancespeed.Model {
-	known := d.models[service]
-	if known == nil {
-		known = instancespeed.NewModel()
-		d.models[service] = known
+	model := d.models[service]
+	if model == nil {
+		model = instancespeed.NewModel()
+		d.models[service] = model
 	}
-	return known
+	return model
 }
 
 // expectedLoadBySpeed returns the expected number of requests at an instance. It works like
@@ -77,8 +77,8 @@
 
 // stableSpeed returns an instance's long-term speed relative to the usual one. The caller must hold
 // the lock.
-func (d *Directory) stableSpeed(now time.Time, known *member) float64 {
-	return math.Exp(-d.speeds.Estimate(now, known.key).Stable)
+func (d *Directory) stableSpeed(now time.Time, m *member) float64 {
+	return math.Exp(-d.speeds.Estimate(now, m.key).Stable)
 }
 
 const (
@@ -106,9 +106,9 @@
 // spreadOf returns how much the stable speeds of a service's instances differ. The caller must hold
 // the lock.
 func (d *Directory) spreadOf(now time.Time, service string) speedSpread {
-	known := d.spreads[service]
-	if age := now.Sub(known.at); known.mean > 0 && age >= 0 && age < spreadCacheTTL {
-		return known
+	spread := d.spreads[service]
+	if age := now.Sub(spread.at); spread.mean > 0 && age >= 0 && age < spreadCacheTTL {
+		return spread
 	}
 	speeds, slots, logs, squares, observed := 0.0, 0.0, 0.0, 0.0, 0.0
 	count := float64(max(1, len(d.byService[service])))
@@ -120,8 +120,8 @@
 		observed += view.Weight / count
 	}
 	deviation := math.Sqrt(max(0, squares-logs*logs))
-	homogeneous := observed >= minHomogeneousWeight && deviation < homogeneousBelow || known.homogeneous && deviation < homogeneousUntil
-	known = speedSpread{at: now, mean: speeds / max(1, slots), homogeneous: homogeneous}
-	d.spreads[service] = known
-	return known
+	homogeneous := observed >= minHomogeneousWeight && deviation < homogeneousBelow || spread.homogeneous && deviation < homogeneousUntil
+	spread = speedSpread{at: now, mean: speeds / max(1, slots), homogeneous: homogeneous}
+	d.spreads[service] = spread
+	return spread
 }
--- a/internal/backend/expectedend_test.go
+++ b/internal/backend/expectedend_test.go
@@ -335,11 +335,11 @@
 }
 
 func TestNewGatewayLearnsSpeedsWithinOneSecond(t *testing.T) {
-	const started, known = 6 * time.Second, 7 * time.Second
+	const started, checked = 6 * time.Second, 7 * time.Second
 	f := newFleet(1, 50, 240, threeSpeeds, byDirectory(true))
 	f.run(started)
 	f.gateways[0] = newGateway(f.now, 0)
-	f.run(known)
+	f.run(checked)
 	estimated := map[string]float64{}
 	for _, speed := range f.gateways[0].Speeds(f.now) {
 		estimated[speed.Instance] = speed.Estimate.Slowdown()
--- a/internal/backend/failures.go
+++ b/internal/backend/failures.go
@@ -20,18 +20,18 @@
 	d.End(now, choice, outcome)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.memberOf(choice)
-	if known == nil || outcome != Failed && outcome != Unreachable {
+	m := d.memberOf(choice)
+	if m == nil || outcome != Failed && outcome != Unreachable {
 		return
 	}
-	usual := d.serviceSpeedOf(known.instance.Service).duration.durationOr(priorDurationMS)
+	usual := d.serviceSpeedOf(m.instance.Service).duration.durationOr(priorDurationMS)
 	if now.Sub(choice.PickedAt) >= usual {
 		return
 	}
-	hold := min(maxHold, usual<<min(known.quickFailures, maxHoldDoublings))
-	known.quickFailures++
-	known.failureHolds = append(known.failureHolds, choice.PickedAt.Add(hold))
-	d.loaded[choice.Instance.ID] = known
+	hold := min(maxHold, usual<<min(m.quickFailures, maxHoldDoublings))
+	m.quickFailures++
+	m.failureHolds = append(m.failureHolds, choice.PickedAt.Add(hold))
+	d.loaded[choice.Instance.ID] = m
 }
 
 // heldFailures returns how many failed requests still count as load on the instance.
--- a/internal/backend/learnedspeed.go
+++ b/internal/backend/learnedspeed.go
@@ -23,7 +23,7 @@
 )
 
 // learnSpeed adds a request to the speed statistics of its instance. The caller must hold the lock.
-func (d *Directory) learnSpeed(now time.Time, known *member, observed Observation) {
+func (d *Directory) learnSpeed(now time.Time, m *member, observed Observation) {
 	unit, ok := observed.unitTimeMS()
 	if !ok {
 		return
@@ -32,21 +32,21 @@
 	if observed.Events > 0 {
 		weight = streamWeight
 	}
-	logSlowdown := d.modelOf(known.instance.Service).Observe(now, instancespeed.Sample{
+	logSlowdown := d.modelOf(m.instance.Service).Observe(now, instancespeed.Sample{
 		Kind: observed.Kind, UnitTime: time.Duration(unit * float64(time.Millisecond)), Duration: observed.Duration,
-		Load: observed.Load, Slots: known.instance.Slots, Estimate: d.speeds.Estimate(now, known.key),
+		Load: observed.Load, Slots: m.instance.Slots, Estimate: d.speeds.Estimate(now, m.key),
 	})
-	d.speeds.Observe(now, known.key, logSlowdown, weight)
+	d.speeds.Observe(now, m.key, logSlowdown, weight)
 }
 
 // learnOutcome adds a failure or a refusal to the statistics of an instance. The caller must hold
 // the lock.
-func (d *Directory) learnOutcome(now time.Time, known *member, outcome Outcome) {
+func (d *Directory) learnOutcome(now time.Time, m *member, outcome Outcome) {
 	switch outcome {
 	case Failed, Unreachable:
-		d.speeds.ObserveFailure(now, known.key)
+		d.speeds.ObserveFailure(now, m.key)
 	case Full:
-		d.speeds.ObserveRefusal(now, known.key)
+		d.speeds.ObserveRefusal(now, m.key)
 	}
 }
 
@@ -65,13 +65,13 @@
 func (d *Directory) ExpectResponse(now time.Time, choice Choice, streams bool) ResponseExpectation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	known := d.memberOf(choice)
-	if known == nil || !choice.byExpectedEnd {
+	m := d.memberOf(choice)
+	if m == nil || !choice.byExpectedEnd {
 		return ResponseExpectation{}
 	}
-	service := known.instance.Service
-	base, growth := d.baselineTimes(service, known.instance.Slots)
-	expectation := ResponseExpectation{logSlowdown: max(0, d.speeds.Estimate(now, known.key).LogSlowdown()), weight: plainWeight}
+	service := m.instance.Service
+	base, growth := d.baselineTimes(service, m.instance.Slots)
+	expectation := ResponseExpectation{logSlowdown: max(0, d.speeds.Estimate(now, m.key).LogSlowdown()), weight: plainWeight}
 	expected := base + growth*float64(choice.Load)
 	if streams {
 		expected = d.serviceSpeedOf(service).firstEventMS() + float64(choice.UncachedTokens)*d.serviceSpeedOf(service).tokenMS()
@@ -88,8 +88,8 @@
 func (d *Directory) ObserveOverdue(now time.Time, choice Choice, expectation ResponseExpectation, multiple float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if known := d.memberOf(choice); known != nil {
-		d.speeds.ObserveOverdue(now, known.key, expectation.logSlowdown+math.Log(overdueFactor*multiple), expectation.weight)
+	if m := d.memberOf(choice); m != nil {
+		d.speeds.ObserveOverdue(now, m.key, expectation.logSlowdown+math.Log(overdueFactor*multiple), expectation.weight)
 	}
 }
 
@@ -135,9 +135,9 @@
 		return nil
 	}
 	var all []InstanceSpeed
-	for id, known := range d.members {
-		if estimate := d.speeds.Estimate(now, known.key); estimate.Weight > 0 {
-			all = append(all, InstanceSpeed{Instance: id, Service: known.instance.Service, Estimate: estimate, Sources: d.speeds.SourceCount()})
+	for id, m := range d.members {
+		if estimate := d.speeds.Estimate(now, m.key); estimate.Weight > 0 {
+			all = append(all, InstanceSpeed{Instance: id, Service: m.instance.Service, Estimate: estimate, Sources: d.speeds.SourceCount()})
 		}
 	}
 	slices.SortFunc(all, func(a, b InstanceSpeed) int {
--- a/internal/backend/liveness.go
+++ b/internal/backend/liveness.go
@@ -54,48 +54,48 @@
 func (p *Pool) livenessOf(id string) *liveness {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.livenessByID[id]
-	if known == nil {
-		known = &liveness{}
-		p.livenessByID[id] = known
+	state := p.livenessByID[id]
+	if state == nil {
+		state = &liveness{}
+		p.livenessByID[id] = state
 	}
-	return known
+	return state
 }
 
 // IsDown reports whether an instance that has sent nothing on a request for the idle timeout is
 // unreachable. It probes the instance's machine only if no other request received data from the
 // instance either. Concurrent callers share one probe; false is returned if the context ends first.
 func (p *Pool) IsDown(ctx context.Context, instance Instance, idleTimeout time.Duration) bool {
-	known := p.livenessOf(instance.ID)
-	known.mu.Lock()
+	state := p.livenessOf(instance.ID)
+	state.mu.Lock()
 	now := time.Now()
 	switch {
-	case now.Sub(known.lastActivity) < idleTimeout:
-		known.mu.Unlock()
+	case now.Sub(state.lastActivity) < idleTimeout:
+		state.mu.Unlock()
 		return false
-	case known.probeDone == nil && now.Sub(known.probedAt) < probeResultTTL:
-		down := known.down
-		known.mu.Unlock()
+	case state.probeDone == nil && now.Sub(state.probedAt) < probeResultTTL:
+		down := state.down
+		state.mu.Unlock()
 		return down
-	case known.probeDone == nil:
-		known.probeDone = make(chan struct{})
-		go p.probe(known, instance)
+	case state.probeDone == nil:
+		state.probeDone = make(chan struct{})
+		go p.probe(state, instance)
 	}
-	done := known.probeDone
-	known.mu.Unlock()
+	done := state.probeDone
+	state.mu.Unlock()
 	select {
 	case <-done:
 	case <-ctx.Done():
 		return false
 	}
-	known.mu.Lock()
-	defer known.mu.Unlock()
-	return known.down && now.Sub(known.lastActivity) >= idleTimeout
+	state.mu.Lock()
+	defer state.mu.Unlock()
+	return state.down && now.Sub(state.lastActivity) >= idleTimeout
 }
 
 // probe checks whether the instance's machine responds. Connections that it opens are kept for the
 // next request.
-func (p *Pool) probe(known *liveness, instance Instance) {
+func (p *Pool) probe(state *liveness, instance Instance) {
 	limit := sameRegionProbeTimeout
 	if p.isOtherRegion != nil && p.isOtherRegion(instance.Zone) {
 		limit = otherRegionProbeTimeout
@@ -113,11 +113,11 @@
 			cancel()
 		}
 	}
-	known.mu.Lock()
-	known.probedAt, known.down = time.Now(), down
-	close(known.probeDone)
-	known.probeDone = nil
-	known.mu.Unlock()
+	state.mu.Lock()
+	state.probedAt, state.down = time.Now(), down
+	close(state.probeDone)
+	state.probeDone = nil
+	state.mu.Unlock()
 }
 
 // probeOnce makes one connection attempt after a pause and reports whether the machine responds.
--- a/internal/backend/networkcost.go
+++ b/internal/backend/networkcost.go
@@ -55,11 +55,11 @@
 
 // roundTrip returns the estimated round trip to a region, in milliseconds.
 func (n *networkCosts) roundTrip(region string) float64 {
-	known := n.roundTrips[region]
-	if known == nil || known.count < minDials {
+	estimate := n.roundTrips[region]
+	if estimate == nil || estimate.count < minDials {
 		return priorRegionRoundTrip
 	}
-	return known.value
+	return estimate.value
 }
 
 // observeDial adds the time that opening a connection to a zone took. Round trips within the region
@@ -69,11 +69,11 @@
 		return
 	}
 	region := n.places.Region(zone)
-	known := n.roundTrips[region]
-	if known == nil {
-		known = &mean{}
-		n.roundTrips[region] = known
+	estimate := n.roundTrips[region]
+	if estimate == nil {
+		estimate = &mean{}
+		n.roundTrips[region] = estimate
 	}
 	limit := roundTripOutlier * n.roundTrip(region)
-	known.add(min(milliseconds(took), limit), roundTripGain)
+	estimate.add(min(milliseconds(took), limit), roundTripGain)
 }
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -202,20 +202,20 @@
 }
 
 // add adds an instance if it may get the request.
-func (s *sample) add(known *member) {
-	if known == nil || known.lastSample == s.number || known.instance.Service != s.demand.Service {
+func (s *sample) add(m *member) {
+	if m == nil || m.lastSample == s.number || m.instance.Service != s.demand.Service {
 		return
 	}
-	known.lastSample = s.number
+	m.lastSample = s.number
 	switch {
-	case !known.mayServe(s.now) || slices.Contains(s.demand.Exclude, known.instance.ID):
-	case !s.demand.isHome(known, s.places): // no overflow to other regions: data must stay in its home regions
-	case !s.cold.Admits(s.now, known.instance.ID):
+	case !m.mayServe(s.now) || slices.Contains(s.demand.Exclude, m.instance.ID):
+	case !s.demand.isHome(m, s.places): // no overflow to other regions: data must stay in its home regions
+	case !s.cold.Admits(s.now, m.instance.ID):
 		s.coldWithheld = true
-	case s.now.Before(known.avoidUntil):
-		s.suspected = append(s.suspected, known)
+	case s.now.Before(m.avoidUntil):
+		s.suspected = append(s.suspected, m)
 	default:
-		s.healthy = append(s.healthy, known)
+		s.healthy = append(s.healthy, m)
 	}
 }
 
@@ -266,7 +266,7 @@
 // "".
 func (d *Directory) lastInstanceOf(parts []PromptPart) string {
 	for _, part := range slices.Backward(parts) {
-		if id, known := d.lastInstances[part.ID]; known {
+		if id, found := d.lastInstances[part.ID]; found {
 			return id
 		}
 	}
@@ -286,19 +286,19 @@
 	if demand.ByExpectedEnd {
 		return cost + d.expectedCompletion(now, candidate, load, uncached, demand), uncached
 	}
-	known := d.serviceSpeedOf(demand.Service)
+	speed := d.serviceSpeedOf(demand.Service)
 	slots := float64(max(1, candidate.instance.Slots))
 	waiting := max(0, load-slots+1)
-	cost += (max(candidate.slowness.slowdown(now), d.sharedSlowdown(now, candidate)) - 1) * known.durationMS()
+	cost += (max(candidate.slowness.slowdown(now), d.sharedSlowdown(now, candidate)) - 1) * speed.durationMS()
 	if !demand.Generates {
-		return cost + load + known.durationMS()*waiting, 0
+		return cost + load + speed.durationMS()*waiting, 0
 	}
 	running := min(load, slots)
 	// Prompt reading alternates with the steps of running requests: this request waits for
 	// the prompts of the others, and all of them wait for its prompt.
-	cost += running * known.meanUncachedTokens() * known.tokenMS()
-	cost += (1 + running) * float64(uncached) * known.tokenMS()
-	return cost + waiting*known.durationMS()/slots, uncached
+	cost += running * speed.meanUncachedTokens() * speed.tokenMS()
+	cost += (1 + running) * float64(uncached) * speed.tokenMS()
+	return cost + waiting*speed.durationMS()/slots, uncached
 }
 
 // uncachedTokens returns the estimated number of prompt tokens that the instance would have to
--- a/internal/backend/promptcache.go
+++ b/internal/backend/promptcache.go
@@ -23,8 +23,8 @@
 	uncached, contiguous := 0, true
 	for _, part := range parts {
 		held := 0
-		if known, exists := c[part.ID]; contiguous && exists && now.Sub(known.usedAt) < cacheTTL {
-			held = min(known.tokens, part.Tokens)
+		if cached, exists := c[part.ID]; contiguous && exists && now.Sub(cached.usedAt) < cacheTTL {
+			held = min(cached.tokens, part.Tokens)
 		}
 		uncached += part.Tokens - held
 		contiguous = held == part.Tokens
@@ -41,8 +41,8 @@
 	if len(c) < sweepSize {
 		return
 	}
-	for id, known := range c {
-		if now.Sub(known.usedAt) >= cacheTTL {
+	for id, cached := range c {
+		if now.Sub(cached.usedAt) >= cacheTTL {
 			delete(c, id)
 		}
 	}
--- a/internal/backend/reportedload.go
+++ b/internal/backend/reportedload.go
@@ -65,20 +65,20 @@
 // remotePerSlot returns the mean number of reported requests per slot of a service. It is cached
 // for capacityCacheTTL, also for small services. The caller must hold the lock.
 func (d *Directory) remotePerSlot(now time.Time, service string) float64 {
-	known := d.remoteSums[service]
-	if age := now.Sub(known.at); known.slots > 0 && age >= 0 && age < capacityCacheTTL {
-		return known.perSlot()
+	sum := d.remoteSums[service]
+	if age := now.Sub(sum.at); sum.slots > 0 && age >= 0 && age < capacityCacheTTL {
+		return sum.perSlot()
 	}
-	known = remoteSum{at: now}
+	sum = remoteSum{at: now}
 	for _, listed := range d.byService[service] {
 		if !listed.mayServe(now) || listed.failures > 0 {
 			continue
 		}
-		known.slots += max(1, listed.instance.Slots)
-		known.requests += listed.remoteInFlight
+		sum.slots += max(1, listed.instance.Slots)
+		sum.requests += listed.remoteInFlight
 	}
-	d.remoteSums[service] = known
-	return known.perSlot()
+	d.remoteSums[service] = sum
+	return sum.perSlot()
 }
 
 // remoteSum is the sum of the reported loads over a service's instances.
--- a/internal/backend/restriction.go
+++ b/internal/backend/restriction.go
@@ -56,8 +56,8 @@
 		}
 	}
 	slices.Sort(returned)
-	for _, known := range d.members {
-		known.evacuated = d.evacuated[known.instance.Zone]
+	for _, m := range d.members {
+		m.evacuated = d.evacuated[m.instance.Zone]
 	}
 	d.reportCold(now)
 	return returned
@@ -68,9 +68,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	inFlight := 0
-	for _, known := range d.members {
-		if known.evacuated {
-			inFlight += known.inFlight
+	for _, m := range d.members {
+		if m.evacuated {
+			inFlight += m.inFlight
 		}
 	}
 	return inFlight
@@ -85,11 +85,11 @@
 		return d.restrictionFor(pinned, demand)
 	}
 	restriction := NotRestricted
-	for _, known := range d.byService[demand.Service] {
-		if !known.isActive(now) {
+	for _, m := range d.byService[demand.Service] {
+		if !m.isActive(now) {
 			continue
 		}
-		reason := d.restrictionFor(known, demand)
+		reason := d.restrictionFor(m, demand)
 		if reason == NotRestricted {
 			return NotRestricted
 		}
@@ -100,11 +100,11 @@
 
 // restrictionFor returns the placement rule that excludes an instance for the request, if there is
 // one. The caller must hold the lock.
-func (d *Directory) restrictionFor(known *member, demand Demand) Restriction {
+func (d *Directory) restrictionFor(m *member, demand Demand) Restriction {
 	switch {
-	case !demand.isHome(known, d.network.places):
+	case !demand.isHome(m, d.network.places):
 		return RestrictedByHomes
-	case known.evacuated:
+	case m.evacuated:
 		return RestrictedByEvacuation
 	default:
 		return NotRestricted
@@ -112,6 +112,6 @@
 }
 
 // isHome reports whether the request may run in the instance's region.
-func (d Demand) isHome(known *member, places place.Map) bool {
-	return d.Homes.Allow(places.Region(known.instance.Zone))
+func (d Demand) isHome(m *member, places place.Map) bool {
+	return d.Homes.Allow(places.Region(m.instance.Zone))
 }
--- a/internal/backend/sampling.go
+++ b/internal/backend/sampling.go
@@ -58,7 +58,8 @@
 	if len(candidates) <= size {
 		return candidates
 	}
-	// Weighted sampling without replacement: the smallest of exponentially distributed numbers whose rates are proportional to speed.
+	// Weighted sampling without replacement: the smallest of exponentially distributed numbers whose
+	// rates are proportional to speed.
 	ranks := make(map[*member]float64, len(candidates))
 	for _, candidate := range candidates {
 		uniform := (float64(d.nextRandom()>>uniformShift) + 1) / uniformRange
--- a/internal/coldstart/changes.go
+++ b/internal/coldstart/changes.go
@@ -22,16 +22,16 @@
 // number of cold instances.
 func (l *Limiter) Changes(now time.Time) (changes []Change, cold int) {
 	maps.Copy(l.changed, l.cold) // cold instances become warm without an event
-	for id, known := range l.changed {
+	for id, inst := range l.changed {
 		delete(l.changed, id)
-		isCold := known.unlistedSince.IsZero() && l.isCold(now, known)
+		isCold := inst.unlistedSince.IsZero() && l.isCold(now, inst)
 		if isCold == (l.cold[id] != nil) {
 			continue
 		}
-		change := Change{Instance: id, Service: known.entry.Service, Cold: isCold}
+		change := Change{Instance: id, Service: inst.entry.Service, Cold: isCold}
 		if isCold {
-			l.cold[id] = known
-			change.Remaining, change.Share = l.coldUntil(known).Sub(now), l.share(now, known)
+			l.cold[id] = inst
+			change.Remaining, change.Share = l.coldUntil(inst).Sub(now), l.share(now, inst)
 		} else {
 			delete(l.cold, id)
 		}
@@ -44,8 +44,8 @@
 // NextChange returns when the next cold instance becomes warm, the zero time if none is cold.
 func (l *Limiter) NextChange() time.Time {
 	var next time.Time
-	for _, known := range l.cold {
-		if until := l.coldUntil(known); next.IsZero() || until.Before(next) {
+	for _, inst := range l.cold {
+		if until := l.coldUntil(inst); next.IsZero() || until.Before(next) {
 			next = until
 		}
 	}
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -164,13 +164,13 @@
 		l.upsert(now, entry)
 	}
 	for _, id := range removed {
-		if known := l.instances[id]; known != nil && known.unlistedSince.IsZero() {
-			known.unlistedSince = now
-			l.unlisted[id], l.changed[id] = known, known
+		if inst := l.instances[id]; inst != nil && inst.unlistedSince.IsZero() {
+			inst.unlistedSince = now
+			l.unlisted[id], l.changed[id] = inst, inst
 		}
 	}
-	for id, known := range l.unlisted {
-		if now.Sub(known.unlistedSince) >= unlistedTTL {
+	for id, inst := range l.unlisted {
+		if now.Sub(inst.unlistedSince) >= unlistedTTL {
 			delete(l.unlisted, id)
 			delete(l.changed, id)
 			delete(l.instances, id)
@@ -184,39 +184,39 @@
 // the cold period, unless the entry had been missing: the instance may have restarted in the
 // meantime.
 func (l *Limiter) upsert(now time.Time, entry Entry) {
-	known := l.instances[entry.ID]
-	isNew := known == nil
+	inst := l.instances[entry.ID]
+	isNew := inst == nil
 	if isNew {
-		known = &instance{}
-		l.instances[entry.ID] = known
+		inst = &instance{}
+		l.instances[entry.ID] = inst
 	}
-	if l.initialized && (isNew || entry.hasRestarted(known.entry)) {
-		known.appearedAt = now
+	if l.initialized && (isNew || entry.hasRestarted(inst.entry)) {
+		inst.appearedAt = now
 	}
-	if isNew || !known.unlistedSince.IsZero() || known.entry.ColdFor != entry.ColdFor {
-		known.reportedUntil = now.Add(entry.ColdFor)
+	if isNew || !inst.unlistedSince.IsZero() || inst.entry.ColdFor != entry.ColdFor {
+		inst.reportedUntil = now.Add(entry.ColdFor)
 	}
-	known.entry = entry
-	known.unlistedSince = time.Time{}
+	inst.entry = entry
+	inst.unlistedSince = time.Time{}
 	delete(l.unlisted, entry.ID)
-	l.changed[entry.ID] = known
+	l.changed[entry.ID] = inst
 }
 
 // AssumeCold treats the instances of a zone as just started, until their entries say otherwise.
 func (l *Limiter) AssumeCold(now time.Time, zone string) {
-	for _, known := range l.instances {
-		until := now.Add(l.services[known.entry.Service].ColdPeriod)
-		if known.entry.Zone == zone && until.After(known.reportedUntil) {
-			known.reportedUntil = until
-			l.changed[known.entry.ID] = known
+	for _, inst := range l.instances {
+		until := now.Add(l.services[inst.entry.Service].ColdPeriod)
+		if inst.entry.Zone == zone && until.After(inst.reportedUntil) {
+			inst.reportedUntil = until
+			l.changed[inst.entry.ID] = inst
 		}
 	}
 }
 
 // coldUntil returns until when an instance is cold; a time in the past if it is warm.
-func (l *Limiter) coldUntil(known *instance) time.Time {
-	until := known.reportedUntil
-	if startUntil := known.appearedAt.Add(l.services[known.entry.Service].ColdPeriod); !known.appearedAt.IsZero() && startUntil.After(until) {
+func (l *Limiter) coldUntil(inst *instance) time.Time {
+	until := inst.reportedUntil
+	if startUntil := inst.appearedAt.Add(l.services[inst.entry.Service].ColdPeriod); !inst.appearedAt.IsZero() && startUntil.After(until) {
 		until = startUntil
 	}
 	return until
@@ -225,42 +225,42 @@
 // isLimited reports whether the service's cold instances have a rate limit.
 func (l *Limiter) isLimited(service string) bool { return l.services[service].PerSecond > 0 }
 
-func (l *Limiter) isCold(now time.Time, known *instance) bool {
-	return l.isLimited(known.entry.Service) && now.Before(l.coldUntil(known))
+func (l *Limiter) isCold(now time.Time, inst *instance) bool {
+	return l.isLimited(inst.entry.Service) && now.Before(l.coldUntil(inst))
 }
 
 // Cold reports whether an instance is cold and has a rate limit.
 func (l *Limiter) Cold(now time.Time, id string) bool {
-	known := l.instances[id]
-	return known != nil && l.isCold(now, known)
+	inst := l.instances[id]
+	return inst != nil && l.isCold(now, inst)
 }
 
 // Admits reports whether a request may be placed on an instance.
 func (l *Limiter) Admits(now time.Time, id string) bool {
-	known := l.instances[id]
-	if known == nil || !l.isCold(now, known) {
+	inst := l.instances[id]
+	if inst == nil || !l.isCold(now, inst) {
 		return true
 	}
-	known.releaseExpired(now)
-	return len(known.places) < l.share(now, known)
+	inst.releaseExpired(now)
+	return len(inst.places) < l.share(now, inst)
 }
 
 // share returns the number of an instance's places that this gateway may use: the smallest by any
 // list of gateways in force within settlePeriod, and none until a list was in force for that long.
-func (l *Limiter) share(now time.Time, known *instance) int {
+func (l *Limiter) share(now time.Time, inst *instance) int {
 	l.dropExpiredMemberships(now)
 	if len(l.memberships) == 0 || now.Sub(l.memberships[0].since) < settlePeriod {
 		return 0
 	}
-	if known.cachedVersion == l.version {
-		return known.cachedShare
+	if inst.cachedVersion == l.version {
+		return inst.cachedShare
 	}
-	bound := l.policy.MaxPerWindow(l.services[known.entry.Service].Limit)
-	known.cachedShare, known.cachedVersion = bound, l.version
+	bound := l.policy.MaxPerWindow(l.services[inst.entry.Service].Limit)
+	inst.cachedShare, inst.cachedVersion = bound, l.version
 	for _, list := range l.memberships {
-		known.cachedShare = min(known.cachedShare, Share(list.gateways, l.self, known.entry.ID, known.entry.Zone, bound))
+		inst.cachedShare = min(inst.cachedShare, Share(list.gateways, l.self, inst.entry.ID, inst.entry.Zone, bound))
 	}
-	return known.cachedShare
+	return inst.cachedShare
 }
 
 // releaseExpired frees the places whose time is over.
@@ -273,13 +273,13 @@
 // Acquire takes a place for a request that Admits allowed. Requests to warm instances take places
 // as well: they count if the instance becomes cold within the window.
 func (l *Limiter) Acquire(now time.Time, id string) Permit {
-	known := l.instances[id]
-	if known == nil || !l.isLimited(known.entry.Service) {
+	inst := l.instances[id]
+	if inst == nil || !l.isLimited(inst.entry.Service) {
 		return Permit{}
 	}
-	known.releaseExpired(now)
+	inst.releaseExpired(now)
 	l.lastPermit++
-	known.places = append(known.places, heldPlace{number: l.lastPermit, freeAt: now.Add(permitTTL)})
+	inst.places = append(inst.places, heldPlace{number: l.lastPermit, freeAt: now.Add(permitTTL)})
 	return Permit{instance: id, number: l.lastPermit}
 }
 
@@ -299,15 +299,15 @@
 
 // placeOf returns the place that a permit holds, nil if it holds none.
 func (l *Limiter) placeOf(permit Permit) *heldPlace {
-	known := l.instances[permit.instance]
-	if known == nil {
+	inst := l.instances[permit.instance]
+	if inst == nil {
 		return nil
 	}
-	index := slices.IndexFunc(known.places, func(held heldPlace) bool { return held.number == permit.number })
+	index := slices.IndexFunc(inst.places, func(held heldPlace) bool { return held.number == permit.number })
 	if index < 0 {
 		return nil
 	}
-	return &known.places[index]
+	return &inst.places[index]
 }
 
 // ResponseStarted records that the response to a request has started, so the request must have
@@ -333,8 +333,8 @@
 // Release frees a permit's place immediately: the request was not sent, or it reached another
 // instance that now has the address.
 func (l *Limiter) Release(permit Permit) {
-	if known := l.instances[permit.instance]; known != nil {
-		known.places = slices.DeleteFunc(known.places, func(held heldPlace) bool { return held.number == permit.number })
+	if inst := l.instances[permit.instance]; inst != nil {
+		inst.places = slices.DeleteFunc(inst.places, func(held heldPlace) bool { return held.number == permit.number })
 	}
 }
 
@@ -342,15 +342,15 @@
 // service, and false if it has no places on any.
 func (l *Limiter) NextFreePlace(now time.Time, service string) (time.Duration, bool) {
 	next, found := time.Duration(0), false
-	for _, known := range l.instances {
-		if known.entry.Service != service || !known.unlistedSince.IsZero() || !l.isCold(now, known) {
+	for _, inst := range l.instances {
+		if inst.entry.Service != service || !inst.unlistedSince.IsZero() || !l.isCold(now, inst) {
 			continue
 		}
-		share := l.share(now, known)
+		share := l.share(now, inst)
 		if share == 0 {
 			continue
 		}
-		if wait := min(known.untilFree(now, share), l.coldUntil(known).Sub(now)); !found || wait < next {
+		if wait := min(inst.untilFree(now, share), l.coldUntil(inst).Sub(now)); !found || wait < next {
 			next, found = wait, true
 		}
 	}
--- a/internal/instancespeed/aggregator.go
+++ b/internal/instancespeed/aggregator.go
@@ -90,21 +90,21 @@
 // recordOf returns the record of an instance, decayed up to now. It creates the record if
 // necessary.
 func (a *Aggregator) recordOf(now time.Time, key Key) *record {
-	known := a.records[key]
-	if known == nil {
-		known = &record{at: now}
-		a.records[key] = known
+	r := a.records[key]
+	if r == nil {
+		r = &record{at: now}
+		a.records[key] = r
 		a.order = append(a.order, key)
 	}
-	known.advance(now)
-	return known
+	r.advance(now)
+	return r
 }
 
 // observe adds local statistics of an instance.
 func (a *Aggregator) observe(now time.Time, key Key, statistics Statistics) {
-	known := a.recordOf(now, key)
-	known.local = known.local.plus(statistics, 1)
-	known.add(tally.Source{}, statistics, 1)
+	r := a.recordOf(now, key)
+	r.local = r.local.plus(statistics, 1)
+	r.add(tally.Source{}, statistics, 1)
 }
 
 // Observe adds a request that was slower than usual by logSlowdown, a logarithm, with the given
@@ -132,55 +132,55 @@
 
 // Estimate returns the estimated speed and failure rates of an instance.
 func (a *Aggregator) Estimate(now time.Time, key Key) Estimate {
-	known := a.records[key]
-	if known == nil {
+	r := a.records[key]
+	if r == nil {
 		return Estimate{}
 	}
-	known.advance(now)
-	return known.all.estimate()
+	r.advance(now)
+	return r.all.estimate()
 }
 
 // ApplyReport applies a source's report. Reports that are older than the source's last one are
 // ignored.
 func (a *Aggregator) ApplyReport(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
 	a.expire(now)
-	known := a.sources[source]
-	if known == nil {
-		known = &sourceState{entries: map[Key]timedStatistics{}}
-		a.sources[source] = known
+	state := a.sources[source]
+	if state == nil {
+		state = &sourceState{entries: map[Key]timedStatistics{}}
+		a.sources[source] = state
 	}
 	// The reports of a zone come from all of its gateways, whose versions have no common order.
-	if source.Zone == "" && version.Before(known.version) {
+	if source.Zone == "" && version.Before(state.version) {
 		return
 	}
-	known.version, known.lastReport = version, now
+	state.version, state.lastReport = version, now
 	for _, entry := range entries {
-		if _, exists := known.entries[entry.Key]; !exists && len(known.entries) >= maxEntriesPerSource {
+		if _, exists := state.entries[entry.Key]; !exists && len(state.entries) >= maxEntriesPerSource {
 			continue
 		}
 		record := a.recordOf(now, entry.Key)
-		a.subtract(now, source, known, entry.Key)
+		a.subtract(now, source, state, entry.Key)
 		record.add(source, entry.Statistics, 1)
-		known.entries[entry.Key] = timedStatistics{statistics: entry.Statistics, at: now}
+		state.entries[entry.Key] = timedStatistics{statistics: entry.Statistics, at: now}
 	}
 }
 
 // subtract removes a source's statistics of an instance from the sums.
-func (a *Aggregator) subtract(now time.Time, source tally.Source, known *sourceState, key Key) {
-	if before, counted := known.entries[key]; counted {
+func (a *Aggregator) subtract(now time.Time, source tally.Source, state *sourceState, key Key) {
+	if before, counted := state.entries[key]; counted {
 		a.recordOf(now, key).add(source, before.statistics.decayed(now.Sub(before.at)), -1)
-		delete(known.entries, key)
+		delete(state.entries, key)
 	}
 }
 
 // expire drops the sources without a report for sourceTTL.
 func (a *Aggregator) expire(now time.Time) {
-	for source, known := range a.sources {
-		if now.Sub(known.lastReport) <= sourceTTL {
+	for source, state := range a.sources {
+		if now.Sub(state.lastReport) <= sourceTTL {
 			continue
 		}
-		for key := range known.entries {
-			a.subtract(now, source, known, key)
+		for key := range state.entries {
+			a.subtract(now, source, state, key)
 		}
 		delete(a.sources, source)
 	}
@@ -190,26 +190,26 @@
 // that currently deviate most from their stable speed or fail, then others in round-robin order.
 func (a *Aggregator) LocalEntries(now time.Time, limit int) []Entry {
 	a.scan(now, limit)
-	return a.entries(now, limit, a.localFirst, &a.nextLocal, func(known *record) Statistics { return known.local })
+	return a.entries(now, limit, a.localFirst, &a.nextLocal, func(r *record) Statistics { return r.local })
 }
 
 // ZoneEntries returns entries of the observations of all gateways of this gateway's zone; see
 // LocalEntries.
 func (a *Aggregator) ZoneEntries(now time.Time, limit int) []Entry {
 	a.scan(now, limit)
-	return a.entries(now, limit, a.zoneFirst, &a.nextZone, func(known *record) Statistics { return known.zone })
+	return a.entries(now, limit, a.zoneFirst, &a.nextZone, func(r *record) Statistics { return r.zone })
 }
 
 // entries returns the entries of the given instances, then those of others in round-robin order.
 func (a *Aggregator) entries(now time.Time, limit int, first []Key, next *int, statisticsOf func(*record) Statistics) []Entry {
 	entries := make([]Entry, 0, limit)
 	add := func(key Key) {
-		known := a.records[key]
-		if known == nil {
+		r := a.records[key]
+		if r == nil {
 			return
 		}
-		known.advance(now)
-		if statistics := statisticsOf(known); statistics.isSignificant() {
+		r.advance(now)
+		if statistics := statisticsOf(r); statistics.isSignificant() {
 			entries = append(entries, Entry{Key: key, Statistics: statistics})
 		}
 	}
@@ -246,23 +246,23 @@
 	a.scannedAt = now
 	a.expire(now)
 	a.order = a.order[:0]
-	for key, known := range a.records {
-		known.advance(now)
-		if !known.all.isSignificant() && !a.isReported(key) {
+	for key, r := range a.records {
+		r.advance(now)
+		if !r.all.isSignificant() && !a.isReported(key) {
 			delete(a.records, key)
 			continue
 		}
 		a.order = append(a.order, key)
 	}
 	slices.Sort(a.order)
-	a.localFirst = a.mostDeviating(limit/prioritizedDivisor, func(known *record) Statistics { return known.local })
-	a.zoneFirst = a.mostDeviating(limit/prioritizedDivisor, func(known *record) Statistics { return known.zone })
+	a.localFirst = a.mostDeviating(limit/prioritizedDivisor, func(r *record) Statistics { return r.local })
+	a.zoneFirst = a.mostDeviating(limit/prioritizedDivisor, func(r *record) Statistics { return r.zone })
 }
 
 // isReported reports whether statistics of any source for an instance are still included.
 func (a *Aggregator) isReported(key Key) bool {
-	for _, known := range a.sources {
-		if _, held := known.entries[key]; held {
+	for _, state := range a.sources {
+		if _, held := state.entries[key]; held {
 			return true
 		}
 	}
@@ -286,8 +286,8 @@
 		first = first[:min(limit, len(first))]
 	}
 	keys := make([]Key, len(first))
-	for i, known := range first {
-		keys[i] = known.key
+	for i, entry := range first {
+		keys[i] = entry.key
 	}
 	return keys
 }
--- a/internal/instancespeed/model.go
+++ b/internal/instancespeed/model.go
@@ -77,15 +77,15 @@
 const minUnitMS = 0.01
 
 func (m *Model) usualUnitTimeOf(kind string) *average {
-	known := m.usualUnitTime[kind]
-	if known == nil {
+	usual := m.usualUnitTime[kind]
+	if usual == nil {
 		if len(m.usualUnitTime) >= maxKinds {
 			clear(m.usualUnitTime)
 		}
-		known = &average{}
-		m.usualUnitTime[kind] = known
+		usual = &average{}
+		m.usualUnitTime[kind] = usual
 	}
-	return known
+	return usual
 }
 
 // currentLocalDelay returns by how much all recent requests of this gateway were slower than
