--- a/internal/feed/bench_test.go
+++ b/internal/feed/bench_test.go
@@ -10,8 +10,8 @@
 	"swiftbank.dev/swiftbank/internal/backend"
 )
 
-// BenchmarkPoll shows what a poll without news costs, in bytes on the wire and in time:
-// the second message of a connection, after gob has described the types.
+// BenchmarkPoll measures the time and the bytes on the wire of a poll without changes. It
+// counts the second message of a connection, after gob has sent the type descriptions.
 func BenchmarkPoll(b *testing.B) {
 	var positions Positions
 	for kind := range positions {
@@ -38,23 +38,23 @@
 	b.ReportMetric(float64(bytesOf(reply)), "B/reply")
 }
 
-// BenchmarkInstanceChange shows what one instance's change costs an upstream of 10,000
-// instances and its follower.
+// BenchmarkInstanceChange measures the cost of a change of one instance for an upstream with
+// 10,000 instances and one follower.
 func BenchmarkInstanceChange(b *testing.B) {
 	const instances = 10000
-	core := NewCore[string](CoreOptions{Node: "r", Zone: "z", ReadAfter: func(int, int) time.Duration { return 0 }})
+	core := NewCore[string](CoreOptions{Node: "r", Zone: "z", ReadDelay: func(int, int) time.Duration { return 0 }})
 	var records []Record
 	for i := range instances {
 		name := fmt.Sprintf("i-%08x", i)
 		records = append(records, Record{Name: name, Revision: 1, Instance: &backend.Instance{ID: name, Service: "agent-llm", Address: "10.1.2.3:8344", Zone: "zone", Slots: 6}})
 	}
-	core.Read(begin, Batch{Kind: Instances, Snapshot: true, At: 1, Records: records})
+	core.HandleStoreBatch(begin, Batch{Kind: Instances, Snapshot: true, At: 1, Records: records})
 	at := uint64(1)
 	for b.Loop() {
 		changed := records[int(at)%instances]
 		changed.Revision = at + 1
-		core.Asked(begin, "g", Request{Positions: core.Cache().Positions()})
-		core.Read(begin, Batch{Kind: Instances, After: at, At: at + 1, Records: []Record{changed}})
+		core.HandlePoll(begin, "g", Request{Positions: core.Cache().Positions()})
+		core.HandleStoreBatch(begin, Batch{Kind: Instances, After: at, At: at + 1, Records: []Record{changed}})
 		at++
 	}
 	var wire bytes.Buffer
--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -6,64 +6,64 @@
 	"slices"
 )
 
-// mostTombstones bounds the deleted records kept of a kind, by which a process that is
-// behind learns of deletions. One that is further behind gets a snapshot. Worked out: a
-// fleet that replaces 1,000 instances within a poll's time is not in sight.
-const mostTombstones = 1024
+// maxTombstones bounds the deleted records kept for each kind, which tell followers about
+// deletions. A follower that is further behind gets a snapshot. The bound is above any expected
+// load: no deployment replaces 1,000 instances within the duration of one poll.
+const maxTombstones = 1024
 
-// mostUnseen bounds the spans kept of a kind between a list and the list before: the store
-// forgets its history a few times a day at most.
-const mostUnseen = 16
+// maxUnseenSpans bounds, for each kind, the spans between one list and the previous list that
+// are kept. The store discards its history a few times a day at most, which forces a new list.
+const maxUnseenSpans = 16
 
-// Outcome says what applying a batch did.
+// Outcome is the result of applying a batch.
 type Outcome uint8
 
 const (
-	// Applied means that the cache holds the batch now.
+	// Applied means that the cache now contains the batch.
 	Applied Outcome = iota + 1
-	// Behind means that the cache knew all of it, or that the batch is older than the cache.
-	Behind
-	// Gap means that changes before the batch are missing; they must be asked for.
+	// Outdated means that the batch ends at or before the position of the cache.
+	Outdated
+	// Gap means that changes before the batch are missing and must be requested.
 	Gap
-	// Invalid means that the batch is not well-formed; nothing of it was applied.
+	// Invalid means that the batch is malformed and no part of it was applied.
 	Invalid
 )
 
 // Difference is what a batch changed.
 type Difference struct {
-	// First is set where nothing was known of the kind before.
+	// First is set when the cache held no position for the kind before.
 	First bool
-	// Records are those that changed, deletions included, in the order of the changes.
+	// Records are the changed records, including deletions, in the order of the changes.
 	Records []Record
 }
 
 // Empty reports whether nothing changed.
 func (d Difference) Empty() bool { return !d.First && len(d.Records) == 0 }
 
-// Cache holds the records of all kinds. Positions never go back: a batch that is older
-// than what the cache holds changes nothing, wherever it comes from.
+// Cache holds the records of all kinds. Positions never decrease: a batch that is older
+// than the cache has no effect, whatever its source. It is not safe for concurrent use.
 type Cache struct {
 	kinds [kindCount]collection
 }
 
 // collection holds the records of one kind.
 type collection struct {
-	// position is up to where all changes are known.
+	// position is the revision up to which all changes are known.
 	position Position
-	// base is the lowest position from which changes can be told one by one; tombstones
+	// base is the lowest position after which individual changes are available; tombstones
 	// cover all deletions after it.
 	base uint64
-	// unseen are the spans between two lists of which the changes in between are not known: a
-	// record that came and went within one was never known here.
+	// unseen are the spans between two lists whose individual changes are unknown: a record
+	// that was created and deleted within a span never reached this cache.
 	unseen     []span
 	records    map[string]entry
 	tombstones map[string]entry
 }
 
-// span holds the positions between two others.
+// span is the range of positions strictly between after and before.
 type span struct{ after, before uint64 }
 
-// entry is a record with the position at which this cache learned of it.
+// entry is a record with the position at which this cache received it.
 type entry struct {
 	record    Record
 	learnedAt uint64
@@ -87,7 +87,7 @@
 	return positions
 }
 
-// Apply applies a batch and returns what it changed.
+// Apply applies a batch and returns the outcome and what it changed.
 func (c *Cache) Apply(batch Batch) (Outcome, Difference) {
 	if batch.Kind >= kindCount || !batch.Snapshot && batch.At < batch.After {
 		return Invalid, Difference{}
@@ -100,7 +100,7 @@
 	held := &c.kinds[batch.Kind]
 	switch {
 	case held.position.Known && batch.At <= held.position.At:
-		return Behind, Difference{}
+		return Outdated, Difference{}
 	case batch.Snapshot:
 		return Applied, held.replace(batch)
 	case !held.position.Known || batch.After > held.position.At || batch.Exact && batch.After != held.position.At:
@@ -110,15 +110,15 @@
 	for _, record := range batch.Records {
 		held.put(record, batch.At, &changed)
 	}
-	if batch.Exact { // what is missing here is missing for those who learn from this process
-		held.noteUnseen(span{batch.After, batch.At})
+	if batch.Exact { // changes missing from this batch are also missing for followers of this process
+		held.addUnseenSpan(span{batch.After, batch.At})
 	}
 	held.position.At = batch.At
 	held.trim()
 	return Applied, changed
 }
 
-// replace takes a snapshot in place of all records. What it lacks was deleted.
+// replace replaces all records by a snapshot. A record that the snapshot lacks was deleted.
 func (h *collection) replace(batch Batch) (changed Difference) {
 	listed := make(map[string]bool, len(batch.Records))
 	for _, record := range batch.Records {
@@ -126,13 +126,13 @@
 		h.put(record, batch.At, &changed)
 	}
 	for name, held := range h.records {
-		// A record newer than the snapshot was listed by a later page of another list.
+		// A record newer than the snapshot came with a later page of another list and stays.
 		if !listed[name] && held.record.Revision <= batch.At {
 			h.put(Record{Name: name, Revision: held.record.Revision, Deleted: true}, batch.At, &changed)
 		}
 	}
 	if h.position.Known {
-		h.noteUnseen(span{h.position.At, batch.At})
+		h.addUnseenSpan(span{h.position.At, batch.At})
 	} else {
 		h.base = batch.At
 		changed.First = true
@@ -142,28 +142,29 @@
 	return changed
 }
 
-// noteUnseen keeps a span of which the changes are not known.
-func (h *collection) noteUnseen(between span) {
-	h.unseen = append(h.unseen, between)
-	if len(h.unseen) > mostUnseen {
+// addUnseenSpan records a span whose individual changes are unknown, and raises base past the
+// oldest span when there are more than maxUnseenSpans.
+func (h *collection) addUnseenSpan(unseen span) {
+	h.unseen = append(h.unseen, unseen)
+	if len(h.unseen) > maxUnseenSpans {
 		h.base = max(h.base, h.unseen[0].before)
 		h.unseen = h.unseen[1:]
 	}
 }
 
-// knowsChangesAfter reports whether the changes after a position can be told one by one.
-func (h *collection) knowsChangesAfter(position uint64) bool {
+// coversChangesAfter reports whether all individual changes after a position are available.
+func (h *collection) coversChangesAfter(position uint64) bool {
 	isWithin := func(s span) bool { return s.after < position && position < s.before }
 	return position >= h.base && !slices.ContainsFunc(h.unseen, isWithin)
 }
 
-// hasUnseenAfter reports whether some changes after a position are not known.
+// hasUnseenAfter reports whether some individual changes after a position are unknown.
 func (h *collection) hasUnseenAfter(position uint64) bool {
 	return slices.ContainsFunc(h.unseen, func(s span) bool { return s.before > position })
 }
 
-// put applies one record unless a newer one is held, and adds it to the changes. A deletion may
-// carry the revision of the object's last change or its own.
+// put applies one record unless the collection holds a newer one, and adds it to changed. A
+// deletion may carry the revision of the object's last change or a revision of its own.
 func (h *collection) put(record Record, at uint64, changed *Difference) {
 	held, exists := h.records[record.Name]
 	if exists && held.record.Revision > record.Revision {
@@ -184,29 +185,29 @@
 	changed.Records = append(changed.Records, record)
 }
 
-// trim drops the oldest half of the tombstones once there are too many.
+// trim drops the oldest half of the tombstones when there are more than maxTombstones.
 func (h *collection) trim() {
-	if len(h.tombstones) <= mostTombstones {
+	if len(h.tombstones) <= maxTombstones {
 		return
 	}
 	oldest := slices.SortedFunc(maps.Values(h.tombstones), func(a, b entry) int { return cmp.Compare(a.learnedAt, b.learnedAt) })
 	h.base = oldest[len(oldest)/2].learnedAt
-	maps.DeleteFunc(h.tombstones, func(_ string, dropped entry) bool { return dropped.learnedAt <= h.base })
+	maps.DeleteFunc(h.tombstones, func(_ string, tombstone entry) bool { return tombstone.learnedAt <= h.base })
 }
 
-// Since returns what a process at the given positions lacks, a batch for each kind that
-// differs. A process that knows more than the cache gets nothing.
+// Since returns the changes that a process at the given positions lacks, one batch for each
+// kind that differs. There is no batch for kinds in which the process is ahead of the cache.
 func (c *Cache) Since(known Positions) []Batch {
 	var batches []Batch
 	for _, kind := range Kinds() {
 		held := &c.kinds[kind]
-		asked := known[kind]
+		position := known[kind]
 		switch {
-		case !held.position.Known || asked.Known && asked.At >= held.position.At:
-		case !asked.Known || !held.knowsChangesAfter(asked.At):
+		case !held.position.Known || position.Known && position.At >= held.position.At:
+		case !position.Known || !held.coversChangesAfter(position.At):
 			batches = append(batches, held.snapshot(kind))
 		default:
-			batches = append(batches, held.changesAfter(kind, asked.At))
+			batches = append(batches, held.changesAfter(kind, position.At))
 		}
 	}
 	return batches
@@ -220,13 +221,14 @@
 	return batch
 }
 
-// changesAfter returns deletions first: an object that was made anew is a record again.
+// changesAfter returns the changes after a position, deletions first, so that an object that
+// was deleted and created again ends up as a record.
 func (h *collection) changesAfter(kind Kind, after uint64) Batch {
 	batch := Batch{Kind: kind, After: after, At: h.position.At, Exact: h.hasUnseenAfter(after)}
 	for _, held := range []map[string]entry{h.tombstones, h.records} {
 		var changed []string
-		for name, each := range held {
-			if each.learnedAt > after {
+		for name, stored := range held {
+			if stored.learnedAt > after {
 				changed = append(changed, name)
 			}
 		}
@@ -238,21 +240,21 @@
 	return batch
 }
 
-// Snapshot returns all that is known, as batches.
+// Snapshot returns the whole contents as one snapshot batch for each known kind.
 func (c *Cache) Snapshot() []Batch { return c.Since(Positions{}) }
 
-// Records returns the records of a kind, in no order: there may be thousands, and whoever
-// needs an order has one of its own.
+// Records returns the records of a kind in no particular order. There may be thousands, so
+// callers that need an order sort them.
 func (c *Cache) Records(kind Kind) []Record {
 	held := c.kinds[kind].records
 	records := make([]Record, 0, len(held))
-	for _, each := range held {
-		records = append(records, each.record)
+	for _, stored := range held {
+		records = append(records, stored.record)
 	}
 	return records
 }
 
-// Record returns one record, if it is known.
+// Record returns the record of that name and whether it exists.
 func (c *Cache) Record(kind Kind, name string) (Record, bool) {
 	held, exists := c.kinds[kind].records[name]
 	return held.record, exists
--- a/internal/feed/cache_test.go
+++ b/internal/feed/cache_test.go
@@ -26,8 +26,8 @@
 	return Batch{Kind: Instances, After: after, At: at, Records: records}
 }
 
-// held returns the revisions of the records of a kind by their names.
-func held(c *Cache, kind Kind) map[string]uint64 {
+// heldRevisions returns the revisions of the records of a kind by name.
+func heldRevisions(c *Cache, kind Kind) map[string]uint64 {
 	revisions := map[string]uint64{}
 	for _, record := range c.Records(kind) {
 		revisions[record.Name] = record.Revision
@@ -35,34 +35,34 @@
 	return revisions
 }
 
-func TestABatchThatIsBehindChangesNothing(t *testing.T) {
+func TestCacheIgnoresOutdatedBatches(t *testing.T) {
 	c := NewCache()
 	apply := func(batch Batch) Outcome { outcome, _ := c.Apply(batch); return outcome }
-	require.Equal(t, Gap, apply(changesTo(0, 5, instance("a", 5))), "nothing was listed yet")
+	require.Equal(t, Gap, apply(changesTo(0, 5, instance("a", 5))), "no list yet")
 	require.Equal(t, Applied, apply(snapshotAt(10, instance("a", 5), instance("b", 9))))
-	require.Equal(t, Behind, apply(snapshotAt(8, instance("a", 5))))
-	require.Equal(t, Behind, apply(changesTo(5, 9, deleted("b", 9))))
-	require.Equal(t, Gap, apply(changesTo(11, 12, deleted("b", 9))), "what happened from 10 to 11 is unknown")
+	require.Equal(t, Outdated, apply(snapshotAt(8, instance("a", 5))))
+	require.Equal(t, Outdated, apply(changesTo(5, 9, deleted("b", 9))))
+	require.Equal(t, Gap, apply(changesTo(11, 12, deleted("b", 9))), "changes from 10 to 11 are missing")
 	require.Equal(t, Applied, apply(changesTo(7, 12, instance("b", 9), deleted("a", 11))))
-	require.Equal(t, map[string]uint64{"b": 9}, held(c, Instances))
+	require.Equal(t, map[string]uint64{"b": 9}, heldRevisions(c, Instances))
 	require.Equal(t, Position{Known: true, At: 12}, c.Positions()[Instances])
 	require.Equal(t, Invalid, apply(Batch{Kind: kindCount, Snapshot: true, At: 20}))
 	require.Equal(t, Invalid, apply(snapshotAt(20, Record{Name: "c", Revision: 15})))
 	require.Equal(t, Invalid, apply(changesTo(30, 20)))
-	require.Equal(t, map[string]uint64{"b": 9}, held(c, Instances))
+	require.Equal(t, map[string]uint64{"b": 9}, heldRevisions(c, Instances))
 }
 
-// The store may give a deletion the revision of the object's last change.
-func TestADeletionMayCarryEitherRevision(t *testing.T) {
+// A deletion carries either the revision of the object's last change or its own.
+func TestCacheAcceptsEitherRevisionOnDeletion(t *testing.T) {
 	for _, revision := range []uint64{5, 11} {
 		c := NewCache()
 		c.Apply(snapshotAt(10, instance("a", 5)))
 		c.Apply(changesTo(10, 11, deleted("a", revision)))
-		require.Empty(t, held(c, Instances))
+		require.Empty(t, heldRevisions(c, Instances))
 	}
 }
 
-func TestWhatAProcessLacks(t *testing.T) {
+func TestCacheSinceReturnsMissingChanges(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshotAt(10, instance("a", 5), instance("b", 9)))
 	c.Apply(changesTo(10, 14, instance("c", 12), deleted("a", 5)))
@@ -76,21 +76,21 @@
 	require.Equal(t, []Batch{changesTo(10, 20, deleted("a", 5), instance("c", 18))}, at(10), "one record for each name")
 	require.Equal(t, []Batch{changesTo(14, 20, instance("c", 18))}, at(14))
 	require.Empty(t, at(20))
-	require.Empty(t, at(25), "a process that knows more gets nothing")
+	require.Empty(t, at(25), "a process that is ahead gets nothing")
 	require.Equal(t, []Batch{snapshotAt(20, instance("b", 9), instance("c", 18))}, c.Since(Positions{}))
 }
 
-// The later pages of a list are newer than the revision that it names.
-func TestAPageThatIsNewerThanItsListStays(t *testing.T) {
+// The later pages of a list may contain records newer than the revision of the list.
+func TestCacheKeepsRecordNewerThanItsList(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshotAt(10, instance("a", 13)))
 	c.Apply(changesTo(10, 12, deleted("a", 12)))
-	require.Equal(t, map[string]uint64{"a": 13}, held(c, Instances), "it was made anew after that deletion")
+	require.Equal(t, map[string]uint64{"a": 13}, heldRevisions(c, Instances), "created again after that deletion")
 	c.Apply(changesTo(12, 14, instance("a", 13)))
-	require.Equal(t, map[string]uint64{"a": 13}, held(c, Instances))
+	require.Equal(t, map[string]uint64{"a": 13}, heldRevisions(c, Instances))
 }
 
-func TestAnObjectThatWasMadeAnewIsNoDeletion(t *testing.T) {
+func TestCacheReportsRecreatedObjectAsRecord(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshotAt(10, instance("a", 5)))
 	c.Apply(changesTo(10, 12, deleted("a", 12)))
@@ -100,8 +100,8 @@
 	require.Equal(t, []Batch{changesTo(10, 15, instance("a", 15))}, c.Since(known))
 }
 
-// A list that comes after the store forgot its history becomes changes for the others.
-func TestANewListBecomesChanges(t *testing.T) {
+// A second list, after the store dropped its history, is passed on to followers as changes.
+func TestCacheTurnsRelistIntoChanges(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshotAt(10, instance("a", 5), instance("b", 9)))
 	c.Apply(snapshotAt(40, instance("b", 9), instance("d", 33)))
@@ -112,17 +112,17 @@
 	require.Equal(t, []Batch{expected}, c.Since(known))
 }
 
-func TestTombstonesAreBounded(t *testing.T) {
+func TestCacheBoundsTombstones(t *testing.T) {
 	c := NewCache()
 	c.Apply(snapshotAt(1))
 	at := uint64(1)
-	for i := range 3 * mostTombstones {
+	for i := range 3 * maxTombstones {
 		name := fmt.Sprintf("i-%d", i)
 		c.Apply(changesTo(at, at+1, instance(name, at+1)))
 		c.Apply(changesTo(at+1, at+2, deleted(name, at+2)))
 		at += 2
 	}
-	require.LessOrEqual(t, len(c.kinds[Instances].tombstones), mostTombstones)
+	require.LessOrEqual(t, len(c.kinds[Instances].tombstones), maxTombstones)
 	var old Positions
 	old[Instances] = Position{Known: true, At: 2}
 	require.True(t, c.Since(old)[0].Snapshot, "a process that is far behind gets a snapshot")
@@ -130,7 +130,7 @@
 	require.False(t, c.Since(old)[0].Snapshot)
 }
 
-// history is a store that remembers what it held at each revision.
+// history is a store that keeps its contents at each revision.
 type history struct {
 	contents []map[string]uint64
 	changes  []Record
@@ -138,7 +138,7 @@
 
 func newHistory() *history { return &history{contents: []map[string]uint64{{}}} }
 
-// at is the newest revision.
+// at returns the newest revision.
 func (h *history) at() uint64 { return uint64(len(h.contents) - 1) }
 
 // change writes or deletes an object.
@@ -171,32 +171,33 @@
 	return changesTo(after, at, h.changes[after:at]...)
 }
 
-// A process that lists anew never knew what came and went since its last list.
-func TestADeletionIsToldThoughTheTellerNeverKnewTheRecord(t *testing.T) {
-	teller, asker := NewCache(), NewCache()
-	teller.Apply(snapshotAt(1))
-	asker.Apply(snapshotAt(2, instance("c", 2)))
-	teller.Apply(snapshotAt(3))
-	for _, batch := range teller.Since(asker.Positions()) {
-		asker.Apply(batch)
+// An upstream that lists again does not know the records created and deleted since its previous
+// list, but a follower may hold them.
+func TestCacheReportsDeletionOfRecordItNeverHeld(t *testing.T) {
+	upstream, follower := NewCache(), NewCache()
+	upstream.Apply(snapshotAt(1))
+	follower.Apply(snapshotAt(2, instance("c", 2)))
+	upstream.Apply(snapshotAt(3))
+	for _, batch := range upstream.Since(follower.Positions()) {
+		follower.Apply(batch)
 	}
-	require.Empty(t, held(asker, Instances))
-	require.Equal(t, uint64(3), asker.Positions()[Instances].At)
+	require.Empty(t, heldRevisions(follower, Instances))
+	require.Equal(t, uint64(3), follower.Positions()[Instances].At)
 
-	// An answer that was on its way while the asker learned more must not be taken either.
-	late := teller.Since(Positions{Instances: Position{Known: true, At: 1}})
-	asker = NewCache()
-	asker.Apply(snapshotAt(2, instance("c", 2)))
-	for _, batch := range late {
-		outcome, _ := asker.Apply(batch)
+	// A reply that was in flight while the follower received more must not be applied either.
+	delayed := upstream.Since(Positions{Instances: Position{Known: true, At: 1}})
+	follower = NewCache()
+	follower.Apply(snapshotAt(2, instance("c", 2)))
+	for _, batch := range delayed {
+		outcome, _ := follower.Apply(batch)
 		require.Equal(t, Gap, outcome)
 	}
 }
 
-// Processes that learn from the store and from each other, with messages that are lost,
-// doubled, late and out of order, hold at each moment exactly what the store held at their
-// position, and never go back.
-func TestACacheHoldsWhatTheStoreHeldAtItsPosition(t *testing.T) {
+// Processes read from the store and follow each other, with messages that are lost, duplicated,
+// delayed and reordered. At all times each cache must equal the contents of the store at the
+// position of the cache, and positions must never decrease.
+func TestCacheMatchesStoreAtItsPosition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := newHistory()
 		const processes = 4
@@ -208,7 +209,7 @@
 			to      int
 			batches []Batch
 		}
-		var onTheWay []message
+		var inFlight []message
 		pick := func(label string) int { return rapid.IntRange(0, processes-1).Draw(rt, label) }
 		check := func(process int, before Position) {
 			position := caches[process].Positions()[Instances]
@@ -216,7 +217,7 @@
 				rt.Fatalf("process %d went back from %v to %v", process, before, position)
 			}
 			if position.Known {
-				require.Equal(rt, store.contents[position.At], held(caches[process], Instances), "process %d at %d", process, position.At)
+				require.Equal(rt, store.contents[position.At], heldRevisions(caches[process], Instances), "process %d at %d", process, position.At)
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
@@ -229,27 +230,27 @@
 					store.change(name, true)
 				}
 			},
-			"list": func(*rapid.T) { onTheWay = append(onTheWay, message{pick("to"), []Batch{store.list()}}) },
+			"list": func(*rapid.T) { inFlight = append(inFlight, message{pick("to"), []Batch{store.list()}}) },
 			"watch": func(*rapid.T) {
 				to := pick("to")
 				position := caches[to].Positions()[Instances]
 				if position.Known {
 					at := rapid.Uint64Range(position.At, store.at()).Draw(rt, "at")
-					onTheWay = append(onTheWay, message{to, []Batch{store.watch(position.At, at)}})
+					inFlight = append(inFlight, message{to, []Batch{store.watch(position.At, at)}})
 				}
 			},
 			"poll": func(*rapid.T) {
 				from, to := pick("from"), pick("to")
-				onTheWay = append(onTheWay, message{to, caches[from].Since(caches[to].Positions())})
+				inFlight = append(inFlight, message{to, caches[from].Since(caches[to].Positions())})
 			},
 			"arrive": func(*rapid.T) {
-				if len(onTheWay) == 0 {
+				if len(inFlight) == 0 {
 					return
 				}
-				which := rapid.IntRange(0, len(onTheWay)-1).Draw(rt, "which")
-				arrived := onTheWay[which]
+				which := rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which")
+				arrived := inFlight[which]
 				if !rapid.Bool().Draw(rt, "comes again") {
-					onTheWay = append(onTheWay[:which], onTheWay[which+1:]...)
+					inFlight = append(inFlight[:which], inFlight[which+1:]...)
 				}
 				before := caches[arrived.to].Positions()[Instances]
 				for _, batch := range arrived.batches {
@@ -262,14 +263,14 @@
 	})
 }
 
-// FuzzApply applies what a broken or hostile peer may send.
+// FuzzApply applies batches as a faulty or malicious peer may send them.
 func FuzzApply(f *testing.F) {
 	f.Add(uint8(1), true, uint64(0), uint64(5), "a", uint64(4), false)
 	f.Add(uint8(9), false, uint64(7), uint64(5), "", uint64(0), true)
-	f.Fuzz(func(t *testing.T, kind uint8, snapshot bool, after, at uint64, name string, revision uint64, gone bool) {
+	f.Fuzz(func(t *testing.T, kind uint8, snapshot bool, after, at uint64, name string, revision uint64, isDeletion bool) {
 		c := NewCache()
 		c.Apply(snapshotAt(10, instance("a", 5)))
-		record := Record{Name: name, Revision: revision, Deleted: gone, Member: []byte("m")}
+		record := Record{Name: name, Revision: revision, Deleted: isDeletion, Member: []byte("m")}
 		before := c.Positions()
 		outcome, _ := c.Apply(Batch{Kind: Kind(kind), Snapshot: snapshot, After: after, At: at, Records: []Record{record}})
 		for _, kind := range Kinds() {
--- a/internal/feed/compatibility_test.go
+++ b/internal/feed/compatibility_test.go
@@ -11,8 +11,8 @@
 	"swiftbank.dev/swiftbank/internal/backend"
 )
 
-// A process may follow one of the version before while a fleet is upgraded.
-func TestAnswersOfTheVersionBeforeAreRead(t *testing.T) {
+// During an upgrade a process may follow one of the previous version.
+func TestReplyOfPreviousVersionDecodes(t *testing.T) {
 	file, err := os.Open("testdata/reply-0.7.gob")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = file.Close() })
--- a/internal/feed/copyfile.go
+++ b/internal/feed/copyfile.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// copyName is the copy's file; partialSuffix marks one that is being written.
+	// copyName is the name of the file; partialSuffix marks a file that is being written.
 	copyName      = "store-copy"
 	partialSuffix = ".partial"
-	// copyPause is the least pause between two writes of the copy. A large copy, of
-	// thousands of instances, is written more seldom: at copyBytesPerSecond on average,
-	// which leaves the disk to the turns.
-	copyPause          = 300 * time.Millisecond
+	// minCopyInterval is the minimum pause between two writes of the copy. A large copy, with
+	// thousands of instances, is written less often, at copyBytesPerSecond on average, to
+	// leave disk bandwidth for storing turns.
+	minCopyInterval    = 300 * time.Millisecond
 	copyBytesPerSecond = 100 << 10
-	// copyMode lets only the product's own user read who the tenants are.
+	// copyMode restricts the file to the user of the process because it names the tenants.
 	copyMode = 0o600
 )
 
-// CopyFile keeps on a disk what a replica knows of the store, so that a fleet that starts
-// while the store is away has something to serve from.
+// CopyFile keeps a copy of a replica's cache on disk, so that a fleet that starts while the
+// store is unavailable can serve from it.
 type CopyFile struct {
 	folder string
 	log    *log.Logger
-	// instances is the last list that was not empty: entries that all lapsed say nothing
-	// to a process that starts.
-	instances *Batch
+	// lastInstances is the last non-empty list of instances. An empty list, after all entries
+	// have expired, would be of no use to a starting process.
+	lastInstances *Batch
 }
 
-// NewCopyFile returns the copy in a folder.
+// NewCopyFile returns the copy in a directory.
 func NewCopyFile(folder string, logger *log.Logger) *CopyFile {
 	return &CopyFile{folder: folder, log: logger}
 }
 
-// Load reads the copy; one that is missing or torn holds nothing.
+// Load reads the copy. It returns nil if the file is missing or cannot be decoded.
 func (c *CopyFile) Load() []Batch {
 	file, err := os.Open(filepath.Join(c.folder, copyName))
 	if err != nil {
@@ -56,7 +56,7 @@
 		c.log.Warn().Str("event", "store_copy_unreadable").Err(err).Msg("")
 		return nil
 	}
-	c.withInstances(batches)
+	c.keepInstances(batches)
 	records := 0
 	for _, batch := range batches {
 		records += len(batch.Records)
@@ -65,12 +65,12 @@
 	return batches
 }
 
-// Run writes the copy after changes until the context ends. A disk that fails leaves the
-// older copy.
+// Run writes the copy after each change until the context ends. When a write fails the
+// previous copy remains.
 func (c *CopyFile) Run(ctx context.Context, node *Node) {
 	failing := false
 	var written Positions
-	for wait.For(ctx, copyPause) {
+	for wait.For(ctx, minCopyInterval) {
 		positions := node.Positions()
 		if positions == written {
 			continue
@@ -87,41 +87,41 @@
 	}
 }
 
-// save writes the copy to a file of its own, which then takes the old one's place: a loss
-// of power leaves one of them whole.
+// save writes the copy to a temporary file and renames it over the old copy, so that a power
+// loss leaves one of them intact. It returns the size in bytes.
 func (c *CopyFile) save(batches []Batch) (size int64, err error) {
 	path := filepath.Join(c.folder, copyName)
 	file, err := os.OpenFile(path+partialSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, copyMode)
 	if err != nil {
-		return 0, fmt.Errorf("feed: copy: %w", err)
+		return 0, fmt.Errorf("feed: write store copy: %w", err)
 	}
 	defer file.Close()
-	if err := gob.NewEncoder(file).Encode(c.withInstances(batches)); err != nil {
-		return 0, fmt.Errorf("feed: copy: %w", err)
+	if err := gob.NewEncoder(file).Encode(c.keepInstances(batches)); err != nil {
+		return 0, fmt.Errorf("feed: write store copy: %w", err)
 	}
 	if err := file.Sync(); err != nil {
-		return 0, fmt.Errorf("feed: copy: %w", err)
+		return 0, fmt.Errorf("feed: write store copy: %w", err)
 	}
 	info, err := file.Stat()
 	if err != nil {
-		return 0, fmt.Errorf("feed: copy: %w", err)
+		return 0, fmt.Errorf("feed: write store copy: %w", err)
 	}
 	if err := os.Rename(path+partialSuffix, path); err != nil {
-		return info.Size(), fmt.Errorf("feed: copy: %w", err)
+		return info.Size(), fmt.Errorf("feed: write store copy: %w", err)
 	}
 	return info.Size(), nil
 }
 
-// withInstances puts the last list of instances that was not empty in place of an empty
-// one, at its own revision.
-func (c *CopyFile) withInstances(batches []Batch) []Batch {
+// keepInstances replaces an empty list of instances by the last non-empty one, at the revision
+// of that list.
+func (c *CopyFile) keepInstances(batches []Batch) []Batch {
 	for i, batch := range batches {
 		switch {
 		case batch.Kind != Instances:
 		case len(batch.Records) > 0:
-			c.instances = &batches[i]
-		case c.instances != nil:
-			batches[i] = *c.instances
+			c.lastInstances = &batches[i]
+		case c.lastInstances != nil:
+			batches[i] = *c.lastInstances
 		}
 	}
 	return batches
--- a/internal/feed/core.go
+++ b/internal/feed/core.go
@@ -8,181 +8,184 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// CoreOptions say whose knowledge a Core keeps.
+// CoreOptions configure a Core.
 type CoreOptions struct {
 	Node   string
 	Zone   string
 	Places place.Map
 	// Role is replicaset.RoleReplica or replicaset.RoleGateway.
 	Role string
-	// Seeds are addresses of upstreams known before any replica is.
+	// Seeds are addresses of upstreams to use until a replica is known.
 	Seeds []string
-	// Evacuations says that the operator may evacuate zones: only then is that kind read and
-	// waited for.
+	// Evacuations is set when the operator may evacuate zones. Only then is that kind read and
+	// required for complete data.
 	Evacuations bool
-	// ReadAfter returns how long a process looks for an upstream before it reads the store.
-	ReadAfter func(upstreams, processes int) time.Duration
+	// ReadDelay returns how long a process looks for a fresh upstream before it reads the store.
+	ReadDelay func(upstreams, processes int) time.Duration
 }
 
-// Core is what one process knows of the store and decides about it: a state machine with
-// neither clock nor I/O. Each method takes the time and what happened and returns what to
-// do. Asker tells the processes apart that poll this one.
-type Core[Asker comparable] struct {
+// Core holds the cache of one process and decides how to fill it. It is a state machine without
+// clock or I/O: each method takes the time and an event and returns the actions to take.
+// Follower identifies the processes that poll this one. It is not safe for concurrent use.
+type Core[Follower comparable] struct {
 	options  CoreOptions
 	cache    *Cache
 	selector *Selector
-	poller   *Poller[Asker]
+	polls    *PendingPolls[Follower]
 	reader   readerStatus
-	// members reads the product's own objects.
+	// members decodes the member objects.
 	members *replicaset.Reader
-	// told is the status that was told last; toldOnce is set once one was.
-	told     Status
-	toldOnce bool
+	// reportedStatus is the status that was reported last; hasReported is set once one was.
+	reportedStatus Status
+	hasReported    bool
 }
 
-// Answer is a reply to one poll.
-type Answer[Asker comparable] struct {
-	To    Asker
+// PollReply is a reply and the follower to send it to.
+type PollReply[Follower comparable] struct {
+	To    Follower
 	Reply Reply
 }
 
-// Change is a kind that changed. Records are all of the kind, or, where All is false, those that
-// changed, deletions included. Of instances there are thousands, of which few change at a time.
+// Change describes a change of one kind. With All set, Records are all records of the kind.
+// Otherwise they are the changed records, including deletions; this form is used for instances,
+// of which there are thousands but few change at a time.
 type Change struct {
 	Kind    Kind
 	All     bool
 	Records []Record
 }
 
-// Refusal is a batch that was not applied though it should have been new.
-type Refusal struct {
+// RejectedBatch describes a batch that was not applied because of a gap or because it is
+// malformed.
+type RejectedBatch struct {
 	Kind      Kind
 	Outcome   Outcome
 	After, At uint64
 }
 
-// Output is what to do after an event, in the order of its fields.
-type Output[Asker comparable] struct {
-	// Decision is what to follow and whether to read from now on.
+// Output lists the actions to take after an event, in the order of its fields.
+type Output[Follower comparable] struct {
+	// Decision is the decision in force from now on.
 	Decision Decision
-	Answers  []Answer[Asker]
-	// Status is set when those who use the knowledge must be told.
+	Replies  []PollReply[Follower]
+	// Status is set when the handlers must be notified of a new status.
 	Status  *Status
 	Changes []Change
-	// Incomplete says that a list of instances in Changes may lack some that are there.
+	// Incomplete is set when a list of instances in Changes may lack instances that are alive.
 	Incomplete bool
-	// Refusals are for the log.
-	Refusals []Refusal
+	// RejectedBatches must be logged.
+	RejectedBatches []RejectedBatch
 }
 
-// NewCore returns the core of a process that knows nothing yet.
-func NewCore[Asker comparable](options CoreOptions) *Core[Asker] {
-	return &Core[Asker]{
-		options: options, cache: NewCache(), poller: NewPoller[Asker](),
-		reader:   readerStatus{kinds: kindsRead(options.Evacuations)},
+// NewCore returns a core with an empty cache.
+func NewCore[Follower comparable](options CoreOptions) *Core[Follower] {
+	return &Core[Follower]{
+		options: options, cache: NewCache(), polls: NewPendingPolls[Follower](),
+		reader:   readerStatus{kinds: kindsToRead(options.Evacuations)},
 		members:  replicaset.NewReader(),
-		selector: NewSelector(SelectorOptions{Zone: options.Zone, ReadAfter: options.ReadAfter}),
+		selector: NewSelector(SelectorOptions{Zone: options.Zone, ReadDelay: options.ReadDelay}),
 	}
 }
 
-// Begin chooses the first upstreams.
-func (c *Core[Asker]) Begin(now time.Time) Output[Asker] {
-	c.chooseUpstreams(now)
+// Start selects the first upstream. It must be called once, after Load if there is a copy.
+func (c *Core[Follower]) Start(now time.Time) Output[Follower] {
+	c.updateCandidates(now)
 	return c.output(now)
 }
 
-// Load takes a copy that a disk kept.
-func (c *Core[Asker]) Load(now time.Time, batches []Batch) Output[Asker] {
-	return c.learn(now, batches)
+// Load applies a copy read from disk.
+func (c *Core[Follower]) Load(now time.Time, batches []Batch) Output[Follower] {
+	return c.applyBatches(now, batches)
 }
 
-// Asked takes a poll; the answer may come with a later event. It changes nothing but the
-// polls that wait.
-func (c *Core[Asker]) Asked(now time.Time, asker Asker, request Request) Output[Asker] {
-	output := Output[Asker]{Decision: c.selector.Decision()}
-	batches, answered := c.poller.Ask(now, asker, request, c.cache)
+// HandlePoll handles a poll. The reply may be part of the output of a later event. Only the set
+// of pending polls changes.
+func (c *Core[Follower]) HandlePoll(now time.Time, follower Follower, request Request) Output[Follower] {
+	output := Output[Follower]{Decision: c.selector.Decision()}
+	batches, answered := c.polls.Add(now, follower, request, c.cache)
 	if answered {
-		output.Answers = append(output.Answers, Answer[Asker]{To: asker, Reply: c.reply(now, batches)})
+		output.Replies = append(output.Replies, PollReply[Follower]{To: follower, Reply: c.reply(now, batches)})
 	}
 	return output
 }
 
-// Heard takes an upstream's answer.
-func (c *Core[Asker]) Heard(now time.Time, from Upstream, reply Reply) Output[Asker] {
-	c.selector.Heard(now, from, reply.Status, reply.Positions.Complete(c.reader.kinds))
-	return c.learn(now, reply.Batches)
+// HandleReply handles the reply of an upstream.
+func (c *Core[Follower]) HandleReply(now time.Time, from Upstream, reply Reply) Output[Follower] {
+	c.selector.HandleReply(now, from, reply.Status, reply.Positions.Complete(c.reader.kinds))
+	return c.applyBatches(now, reply.Batches)
 }
 
-// Failed says that an upstream cannot be reached or does not answer.
-func (c *Core[Asker]) Failed(now time.Time, from Upstream) Output[Asker] {
-	c.selector.Failed(now, from)
+// HandleUpstreamFailure handles the failure of an upstream that cannot be reached or does not
+// reply.
+func (c *Core[Follower]) HandleUpstreamFailure(now time.Time, from Upstream) Output[Follower] {
+	c.selector.HandleFailure(now, from)
 	return c.output(now)
 }
 
-// Read takes what the store told this process. Only with it applied is what is known the store's
-// own word.
-func (c *Core[Asker]) Read(now time.Time, batch Batch) Output[Asker] {
+// HandleStoreBatch applies a batch that this process read from the store, and confirms its kind
+// in the same step: the data matches the store only once the batch is applied.
+func (c *Core[Follower]) HandleStoreBatch(now time.Time, batch Batch) Output[Follower] {
 	c.reader.confirm(now, batch.Kind)
-	return c.learn(now, []Batch{batch})
+	return c.applyBatches(now, []Batch{batch})
 }
 
-// StoreConfirmed notes that the store has nothing newer of a kind than what is known here.
-func (c *Core[Asker]) StoreConfirmed(now time.Time, kind Kind) { c.reader.confirm(now, kind) }
+// StoreConfirmed records that the store has nothing newer of a kind than the cache.
+func (c *Core[Follower]) StoreConfirmed(now time.Time, kind Kind) { c.reader.confirm(now, kind) }
 
-// StoreContact notes that the store is lost to this process, or reached again.
-func (c *Core[Asker]) StoreContact(now time.Time, lost bool) Output[Asker] {
-	c.reader.contact(now, lost)
+// SetStoreLost records that the store stopped answering this process, or answers again.
+func (c *Core[Follower]) SetStoreLost(now time.Time, lost bool) Output[Follower] {
+	c.reader.setLost(now, lost)
 	return c.output(now)
 }
 
-// ReadingEnded forgets what the store answered: what this process knows is as good as its
-// upstream's from now on.
-func (c *Core[Asker]) ReadingEnded() { c.reader = readerStatus{kinds: c.reader.kinds} }
+// ReadingStopped resets the status of reading the store. From now on the status of the data is
+// that of the upstream.
+func (c *Core[Follower]) ReadingStopped() { c.reader = readerStatus{kinds: c.reader.kinds} }
 
-// Tick lets time pass.
-func (c *Core[Asker]) Tick(now time.Time) Output[Asker] {
+// Tick handles the passing of time. It must be called every tickInterval.
+func (c *Core[Follower]) Tick(now time.Time) Output[Follower] {
 	c.selector.Tick(now)
 	output := c.output(now)
-	for _, asker := range c.poller.Due(now) {
-		output.Answers = append(output.Answers, Answer[Asker]{To: asker, Reply: c.reply(now, nil)})
+	for _, follower := range c.polls.TakeExpired(now) {
+		output.Replies = append(output.Replies, PollReply[Follower]{To: follower, Reply: c.reply(now, nil)})
 	}
 	return output
 }
 
-// Status returns what the knowledge is worth: the better of what the upstream and the
-// store itself told.
-func (c *Core[Asker]) Status(now time.Time) Status {
+// Status returns the status of the data: the better one of the upstream's status and that of
+// reading the store.
+func (c *Core[Follower]) Status(now time.Time) Status {
 	upstream, own := c.selector.UpstreamStatus(now), c.reader.status(now)
-	if own.better(upstream) {
+	if own.betterThan(upstream) {
 		return own
 	}
 	return upstream
 }
 
-// Cache returns what is known.
-func (c *Core[Asker]) Cache() *Cache { return c.cache }
+// Cache returns the cache.
+func (c *Core[Follower]) Cache() *Cache { return c.cache }
 
-// learn applies batches and answers the polls that waited for them.
-func (c *Core[Asker]) learn(now time.Time, batches []Batch) Output[Asker] {
+// applyBatches applies batches and answers the pending polls if the cache changed.
+func (c *Core[Follower]) applyBatches(now time.Time, batches []Batch) Output[Follower] {
 	changed := map[Kind]Difference{}
-	var refusals []Refusal
+	var rejected []RejectedBatch
 	for _, batch := range batches {
 		outcome, difference := c.cache.Apply(batch)
 		if !difference.Empty() {
-			before := changed[batch.Kind]
+			merged := changed[batch.Kind]
 			changed[batch.Kind] = Difference{
-				First: before.First || difference.First, Records: append(before.Records, difference.Records...),
+				First: merged.First || difference.First, Records: append(merged.Records, difference.Records...),
 			}
 		}
 		if outcome == Gap || outcome == Invalid {
-			refusals = append(refusals, Refusal{Kind: batch.Kind, Outcome: outcome, After: batch.After, At: batch.At})
+			rejected = append(rejected, RejectedBatch{Kind: batch.Kind, Outcome: outcome, After: batch.After, At: batch.At})
 		}
 	}
 	if !changed[Members].Empty() {
-		c.chooseUpstreams(now)
+		c.updateCandidates(now)
 	}
 	output := c.output(now)
-	output.Refusals = refusals
+	output.RejectedBatches = rejected
 	output.Incomplete = c.Status(now).Incomplete
 	for _, kind := range Kinds() {
 		if difference := changed[kind]; !difference.Empty() {
@@ -190,38 +193,39 @@
 		}
 	}
 	if len(changed) > 0 {
-		for asker, news := range c.poller.Changed(c.cache) {
-			output.Answers = append(output.Answers, Answer[Asker]{To: asker, Reply: c.reply(now, news)})
+		for follower, lacking := range c.polls.TakeAll(c.cache) {
+			output.Replies = append(output.Replies, PollReply[Follower]{To: follower, Reply: c.reply(now, lacking)})
 		}
 	}
 	return output
 }
 
-// change returns what to tell of a kind that changed.
-func (c *Core[Asker]) change(kind Kind, difference Difference) Change {
+// change returns the change to pass to the handler of the kind.
+func (c *Core[Follower]) change(kind Kind, difference Difference) Change {
 	if kind == Instances && !difference.First {
 		return Change{Kind: kind, Records: difference.Records}
 	}
 	return Change{Kind: kind, All: true, Records: c.cache.Records(kind)}
 }
 
-// output returns the present decision, and the status if it must be told.
-func (c *Core[Asker]) output(now time.Time) Output[Asker] {
-	output := Output[Asker]{Decision: c.selector.Decision()}
+// output returns the current decision, and the status if its freshness or confirmation has
+// changed.
+func (c *Core[Follower]) output(now time.Time) Output[Follower] {
+	output := Output[Follower]{Decision: c.selector.Decision()}
 	status := c.Status(now)
-	if !c.toldOnce || c.told.Fresh() != status.Fresh() || c.told.Confirmed != status.Confirmed {
-		c.told, c.toldOnce = status, true
+	if !c.hasReported || c.reportedStatus.Fresh() != status.Fresh() || c.reportedStatus.Confirmed != status.Confirmed {
+		c.reportedStatus, c.hasReported = status, true
 		output.Status = &status
 	}
 	return output
 }
 
-func (c *Core[Asker]) reply(now time.Time, batches []Batch) Reply {
+func (c *Core[Follower]) reply(now time.Time, batches []Batch) Reply {
 	return Reply{Batches: batches, Positions: c.cache.Positions(), Status: c.Status(now)}
 }
 
-// chooseUpstreams gives the selector the upstreams that the members name.
-func (c *Core[Asker]) chooseUpstreams(now time.Time) {
+// updateCandidates passes the upstreams among the members to the selector.
+func (c *Core[Follower]) updateCandidates(now time.Time) {
 	var objects []registry.Object
 	for _, record := range c.cache.Records(Members) {
 		objects = append(objects, record.object())
--- a/internal/feed/fleet_test.go
+++ b/internal/feed/fleet_test.go
@@ -15,9 +15,9 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// virtualFleet plays Cores of many processes over a virtual clock, a store and a network
-// that misbehave by a seed. It checks after each event that every process holds what the
-// store held at its position, and that no position goes back.
+// virtualFleet simulates the Cores of many processes with a virtual clock and with a store and a
+// network whose faults depend on a seed. After each event it checks that the process holds
+// exactly the contents of the store at its position, and that no position decreases.
 type virtualFleet struct {
 	random *rand.Rand
 	now    time.Time
@@ -26,24 +26,24 @@
 	names     []string
 	processes map[string]*virtualProcess
 	events    virtualEvents
-	// cuts holds the ordered pairs of processes between which nothing arrives.
+	// cuts holds the ordered pairs of processes between which all messages are lost.
 	cuts map[[2]string]bool
-	// storeCuts holds the processes that the store does not answer; storeDown is for all.
+	// storeCuts holds the processes that the store does not answer; storeDown applies to all.
 	storeCuts map[string]bool
 	storeDown bool
 	reads     map[string]int
-	planned   int
+	scheduled int
 	t         require.TestingT
 }
 
-// virtualEvent is something that happens at a time; number orders those of the same time.
+// virtualEvent is an event at a time; number orders events of the same time.
 type virtualEvent struct {
 	at     time.Time
 	number int
 	do     func()
 }
 
-// virtualEvents is a heap of what will happen, the next first.
+// virtualEvents is a heap of future events, the earliest first.
 type virtualEvents []virtualEvent
 
 func (e virtualEvents) Len() int { return len(e) }
@@ -58,18 +58,18 @@
 	return last
 }
 
-// virtualProcess is one process; life counts its starts.
+// virtualProcess is one process; incarnation counts its starts.
 type virtualProcess struct {
 	name, zone, role string
 	core             *Core[string]
-	life             int
+	incarnation      int
 	alive            bool
 	frozenUntil      time.Time
 	decision         Decision
-	// polled is the upstream of the poll under way.
-	polled    *Upstream
-	positions Positions
-	lostTold  bool
+	// polled is the upstream of the current poll.
+	polled       *Upstream
+	positions    Positions
+	lossReported bool
 }
 
 // virtualStore keeps the contents of each kind at each revision.
@@ -87,13 +87,13 @@
 	return s
 }
 
-// write changes one object; every kind gets a content for the new revision.
+// write changes one object and adds the contents of every kind at the new revision.
 func (s *virtualStore) write(kind Kind, record Record) {
 	s.revision++
 	record.Revision = s.revision
-	for each := range s.contents {
-		next := s.contents[each][len(s.contents[each])-1]
-		if Kind(each) == kind {
+	for other := range s.contents {
+		next := s.contents[other][len(s.contents[other])-1]
+		if Kind(other) == kind {
 			next = maps.Clone(next)
 			if record.Deleted {
 				delete(next, record.Name)
@@ -101,7 +101,7 @@
 				next[record.Name] = record
 			}
 		}
-		s.contents[each] = append(s.contents[each], next)
+		s.contents[other] = append(s.contents[other], next)
 	}
 	s.changes[kind] = append(s.changes[kind], record)
 }
@@ -148,7 +148,7 @@
 	f.register(f.processes[name])
 }
 
-// register enters a process in the store, as its own first write would.
+// register writes the member object of a process to the store.
 func (f *virtualFleet) register(p *virtualProcess) {
 	content := fmt.Sprintf(`{"name":%q,"role":%q,"zone":%q,"address":"x:1"`, p.name, p.role, p.zone)
 	if p.role == replicaset.RoleReplica {
@@ -157,34 +157,34 @@
 	f.store.write(Members, Record{Name: "node-" + p.name, Member: []byte(content + "}")})
 }
 
-// start begins a new life of a process that knows nothing.
+// start starts a process with an empty cache.
 func (f *virtualFleet) start(name string) {
 	p := f.processes[name]
-	p.life++
-	p.alive, p.decision, p.polled, p.positions, p.lostTold = true, Decision{}, nil, Positions{}, false
-	delay := readAfter(p.role, false)
+	p.incarnation++
+	p.alive, p.decision, p.polled, p.positions, p.lossReported = true, Decision{}, nil, Positions{}, false
+	delay := readDelay(p.role, false)
 	if p.role == replicaset.RoleGateway {
 		delay = func(int, int) time.Duration {
-			return gatewayReadAfter + time.Duration(f.random.Int64N(int64(gatewayReadSpread)))
+			return gatewayReadDelay + time.Duration(f.random.Int64N(int64(gatewayReadSpread)))
 		}
 	}
-	p.core = NewCore[string](CoreOptions{Node: name, Zone: p.zone, Role: p.role, Seeds: []string{"r-0-0"}, Evacuations: true, ReadAfter: delay})
-	f.step(p, func() Output[string] { return p.core.Begin(f.now) })
-	f.tick(p, p.life)
+	p.core = NewCore[string](CoreOptions{Node: name, Zone: p.zone, Role: p.role, Seeds: []string{"r-0-0"}, Evacuations: true, ReadDelay: delay})
+	f.step(p, func() Output[string] { return p.core.Start(f.now) })
+	f.tick(p, p.incarnation)
 }
 
 func (f *virtualFleet) kill(name string) { f.processes[name].alive = false }
 
-// after plans something for a process's present life. A frozen process does it when it
-// wakes up.
-func (f *virtualFleet) after(p *virtualProcess, delay time.Duration, do func()) {
-	life := p.life
-	f.planned++
-	heap.Push(&f.events, virtualEvent{at: f.now.Add(delay), number: f.planned, do: func() {
+// schedule schedules an event for the current incarnation of a process. A frozen process handles
+// it when it wakes up.
+func (f *virtualFleet) schedule(p *virtualProcess, delay time.Duration, do func()) {
+	life := p.incarnation
+	f.scheduled++
+	heap.Push(&f.events, virtualEvent{at: f.now.Add(delay), number: f.scheduled, do: func() {
 		switch {
-		case !p.alive || p.life != life:
+		case !p.alive || p.incarnation != life:
 		case f.now.Before(p.frozenUntil):
-			f.after(p, p.frozenUntil.Sub(f.now), do)
+			f.schedule(p, p.frozenUntil.Sub(f.now), do)
 		default:
 			do()
 		}
@@ -195,7 +195,7 @@
 	return time.Millisecond + time.Duration(f.random.Int64N(int64(20*time.Millisecond)))
 }
 
-// run plays events until a time has passed.
+// run executes events until the given time has passed.
 func (f *virtualFleet) run(t require.TestingT, total time.Duration) {
 	f.t = t
 	end := f.now.Add(total)
@@ -207,7 +207,7 @@
 	f.now = end
 }
 
-// check looks at what a process holds after an event.
+// check compares the cache of a process with the store after an event.
 func (f *virtualFleet) check(p *virtualProcess) {
 	positions := p.core.Cache().Positions()
 	if positions == p.positions {
@@ -215,7 +215,7 @@
 	}
 	for _, kind := range Kinds() {
 		before, now := p.positions[kind], positions[kind]
-		require.False(f.t, now.At < before.At || before.Known && !now.Known, "%s went back in %s", p.name, kind)
+		require.False(f.t, now.At < before.At || before.Known && !now.Known, "position of %s decreased in %s", p.name, kind)
 		if !now.Known || now == before {
 			continue
 		}
@@ -223,26 +223,26 @@
 		for object, record := range f.store.contents[kind][now.At] {
 			expected[object] = record.Revision
 		}
-		require.Equal(f.t, expected, held(p.core.Cache(), kind), "%s of %s at %d", kind, p.name, now.At)
+		require.Equal(f.t, expected, heldRevisions(p.core.Cache(), kind), "%s of %s at %d", kind, p.name, now.At)
 	}
 	p.positions = positions
 }
 
 func (f *virtualFleet) tick(p *virtualProcess, life int) {
-	if p.life != life {
+	if p.incarnation != life {
 		return
 	}
 	f.step(p, func() Output[string] { return p.core.Tick(f.now) })
-	f.after(p, tickInterval, func() { f.tick(p, life) })
+	f.schedule(p, tickInterval, func() { f.tick(p, life) })
 }
 
-// step gives a core an event and does what it says.
+// step passes an event to a core and carries out its output.
 func (f *virtualFleet) step(p *virtualProcess, event func() Output[string]) {
 	output := event()
 	f.check(p)
 	before := p.decision
 	p.decision = output.Decision
-	for _, answer := range output.Answers {
+	for _, answer := range output.Replies {
 		f.send(p.name, answer.To, func(to *virtualProcess) { f.answered(to, p.name, answer.Reply) })
 	}
 	if p.decision.Follow != nil && !sameUpstream(p.decision.Follow, before.Follow) {
@@ -254,64 +254,64 @@
 		}
 	}
 	if !p.decision.Reading && before.Reading {
-		p.core.ReadingEnded()
-		p.lostTold = false
+		p.core.ReadingStopped()
+		p.lossReported = false
 	}
 }
 
-// send delivers a message unless the way is cut. Some come twice.
+// send delivers a message unless the pair is cut. Some messages arrive twice.
 func (f *virtualFleet) send(from, to string, deliver func(*virtualProcess)) {
 	receiver := f.processes[to]
 	if receiver == nil || !receiver.alive || f.cuts[[2]string{from, to}] {
 		return
 	}
-	f.after(receiver, f.delay(), func() { deliver(receiver) })
+	f.schedule(receiver, f.delay(), func() { deliver(receiver) })
 	if f.random.IntN(20) == 0 {
-		f.after(receiver, 3*f.delay(), func() { deliver(receiver) })
+		f.schedule(receiver, 3*f.delay(), func() { deliver(receiver) })
 	}
 }
 
-// poll asks an upstream and gives up when no answer comes in time.
+// poll polls an upstream and reports a failure if no reply arrives within answerTimeout.
 func (f *virtualFleet) poll(p *virtualProcess, upstream Upstream) {
 	p.polled = &upstream
-	asked := p.polled
+	polled := p.polled
 	request := Request{Node: p.name, Positions: p.core.Cache().Positions()}
 	f.send(p.name, upstream.Address, func(to *virtualProcess) {
-		f.step(to, func() Output[string] { return to.core.Asked(f.now, p.name, request) })
+		f.step(to, func() Output[string] { return to.core.HandlePoll(f.now, p.name, request) })
 	})
-	f.after(p, answerTimeout, func() {
-		if p.polled == asked && sameUpstream(p.decision.Follow, &upstream) {
+	f.schedule(p, answerTimeout, func() {
+		if p.polled == polled && sameUpstream(p.decision.Follow, &upstream) {
 			p.polled = nil
-			f.step(p, func() Output[string] { return p.core.Failed(f.now, upstream) })
+			f.step(p, func() Output[string] { return p.core.HandleUpstreamFailure(f.now, upstream) })
 		}
 	})
 }
 
-// answered takes a reply, also one that comes twice or from an upstream that was left.
+// answered handles a reply, including a duplicate or one from a former upstream.
 func (f *virtualFleet) answered(p *virtualProcess, from string, reply Reply) {
 	upstream := p.polled
 	if upstream == nil || upstream.Address != from {
-		f.step(p, func() Output[string] { return p.core.Heard(f.now, Upstream{Address: from}, reply) })
+		f.step(p, func() Output[string] { return p.core.HandleReply(f.now, Upstream{Address: from}, reply) })
 		return
 	}
 	p.polled = nil
-	f.step(p, func() Output[string] { return p.core.Heard(f.now, *upstream, reply) })
+	f.step(p, func() Output[string] { return p.core.HandleReply(f.now, *upstream, reply) })
 	if sameUpstream(p.decision.Follow, upstream) && p.polled == nil {
 		f.poll(p, *upstream)
 	}
 }
 
-// read asks the store again and again while the process is to read it.
+// read lists or watches a kind repeatedly while the process reads the store.
 func (f *virtualFleet) read(p *virtualProcess, kind Kind, relist bool) {
 	if !p.decision.Reading {
 		return
 	}
 	f.reads[p.name]++
 	if f.storeDown || f.storeCuts[p.name] {
-		f.after(p, probeTimeout, func() {
-			if p.decision.Reading && !p.lostTold {
-				p.lostTold = true
-				f.step(p, func() Output[string] { return p.core.StoreContact(f.now, true) })
+		f.schedule(p, probeTimeout, func() {
+			if p.decision.Reading && !p.lossReported {
+				p.lossReported = true
+				f.step(p, func() Output[string] { return p.core.SetStoreLost(f.now, true) })
 			}
 			f.read(p, kind, relist)
 		})
@@ -319,24 +319,24 @@
 	}
 	position := p.core.Cache().Positions()[kind]
 	batch := f.store.list(kind)
-	if position.Known && f.random.IntN(10) > 0 { // at times the store has forgotten its history
+	if position.Known && f.random.IntN(10) > 0 { // sometimes the store has dropped its history
 		batch = f.store.watch(kind, position.At)
 	}
-	f.after(p, f.delay(), func() {
+	f.schedule(p, f.delay(), func() {
 		if !p.decision.Reading {
 			return
 		}
 		p.core.StoreConfirmed(f.now, kind)
-		if p.lostTold {
-			p.lostTold = false
-			f.step(p, func() Output[string] { return p.core.StoreContact(f.now, false) })
+		if p.lossReported {
+			p.lossReported = false
+			f.step(p, func() Output[string] { return p.core.SetStoreLost(f.now, false) })
 		}
-		f.step(p, func() Output[string] { return p.core.Read(f.now, batch) })
-		f.after(p, 50*time.Millisecond, func() { f.read(p, kind, false) })
+		f.step(p, func() Output[string] { return p.core.HandleStoreBatch(f.now, batch) })
+		f.schedule(p, 50*time.Millisecond, func() { f.read(p, kind, false) })
 	})
 }
 
-// readers returns who reads the store.
+// readers returns the running processes that read the store.
 func (f *virtualFleet) readers() (names []string) {
 	for _, name := range f.names {
 		if p := f.processes[name]; p.alive && p.decision.Reading {
@@ -346,8 +346,8 @@
 	return names
 }
 
-// requireKnown requires that every process that lives is at the store's newest change of a
-// kind, and that its knowledge is fresh.
+// requireKnown requires that every running process has the newest change of a kind and that its
+// data is fresh.
 func (f *virtualFleet) requireKnown(t require.TestingT, kind Kind) {
 	newest := f.store.changes[kind][len(f.store.changes[kind])-1].Revision
 	for _, name := range f.names {
@@ -364,7 +364,7 @@
 	f.store.write(Configurations, Record{Name: "main", Configuration: &Configuration{Version: version}})
 }
 
-func TestOneReplicaOfEachZoneReadsTheStore(t *testing.T) {
+func TestFleetReadsStoreOncePerZone(t *testing.T) {
 	f := newVirtualFleet(t, 1, 3, 4, 6)
 	f.run(t, 15*time.Second)
 	require.Equal(t, []string{"r-0-0", "r-1-0", "r-2-0"}, f.readers())
@@ -373,7 +373,7 @@
 	require.Len(t, f.reads, 3)
 }
 
-func TestAChangeIsKnownEverywhereWithinAMoment(t *testing.T) {
+func TestFleetPropagatesChangeQuickly(t *testing.T) {
 	f := newVirtualFleet(t, 2, 3, 4, 6)
 	f.run(t, 15*time.Second)
 	f.writeConfiguration(2)
@@ -381,9 +381,9 @@
 	f.requireKnown(t, Configurations)
 }
 
-// The bounds of the pages are two seconds on the smallest deployments: a change that is
-// made at the moment at which a reader ends must be in force by then.
-func TestAChangeIsKnownInTimeThoughAReaderEnds(t *testing.T) {
+// A change that is made at the moment at which a reader fails must be in force within the
+// strictest bound of any deployment, which is two seconds.
+func TestFleetPropagatesChangeInTimeWhenReaderFails(t *testing.T) {
 	const bound = 1800 * time.Millisecond
 	faults := map[string]func(*virtualFleet){
 		"killed":             func(f *virtualFleet) { f.kill("r-0-0") },
@@ -416,15 +416,15 @@
 	}
 }
 
-// A store that turns the reader of a zone away is read by the next replica.
-func TestTheNextReplicaReadsWhenTheStoreTurnsTheReaderAway(t *testing.T) {
+// When the store refuses the reader of a zone the next replica reads it.
+func TestNextReplicaReadsWhenStoreRefusesReader(t *testing.T) {
 	f := newVirtualFleet(t, 3, 3, 4, 6)
 	f.run(t, 15*time.Second)
 	f.storeCuts["r-0-0"] = true
 	f.run(t, 6*time.Second)
 	f.writeConfiguration(2)
 	f.run(t, time.Second)
-	f.requireContent(t, Configurations, "r-0-0") // it needs the store for what it writes
+	f.requireContent(t, Configurations, "r-0-0") // it needs the store for its own writes
 	require.Contains(t, f.readers(), "r-0-1")
 	require.LessOrEqual(t, len(f.readers()), 6)
 	delete(f.storeCuts, "r-0-0")
@@ -432,21 +432,22 @@
 	require.Equal(t, []string{"r-0-0", "r-1-0", "r-2-0"}, f.readers())
 }
 
-// requireContent compares what every process holds of a kind with what the store does.
-func (f *virtualFleet) requireContent(t require.TestingT, kind Kind, but string) {
+// requireContent requires that every running process but one holds the store's current contents
+// of a kind.
+func (f *virtualFleet) requireContent(t require.TestingT, kind Kind, except string) {
 	expected := map[string]uint64{}
 	for name, record := range f.store.contents[kind][f.store.revision] {
 		expected[name] = record.Revision
 	}
 	for _, name := range f.names {
-		if p := f.processes[name]; p.alive && name != but {
-			require.Equal(t, expected, held(p.core.Cache(), kind), name)
+		if p := f.processes[name]; p.alive && name != except {
+			require.Equal(t, expected, heldRevisions(p.core.Cache(), kind), name)
 		}
 	}
 }
 
-// Without any replica gateways read the store, and hand that back.
-func TestGatewaysReadWhenNoReplicaLives(t *testing.T) {
+// Without any replica the gateways read the store, and stop when a replica is back.
+func TestGatewaysReadStoreWithoutReplicas(t *testing.T) {
 	f := newVirtualFleet(t, 4, 2, 2, 3)
 	f.run(t, 15*time.Second)
 	for _, name := range f.names {
@@ -464,9 +465,9 @@
 	require.Equal(t, []string{"r-0-0"}, f.readers())
 }
 
-// While the store is away for all, what is asked of it stays bounded, and all know of
-// changes soon after it is back.
-func TestAStoreThatIsAwayIsNotAskedByAllAtOnce(t *testing.T) {
+// While the store is unavailable to all, the number of processes that call it stays bounded, and
+// all processes receive changes soon after it is back.
+func TestFleetLimitsStoreCallsDuringOutage(t *testing.T) {
 	f := newVirtualFleet(t, 5, 3, 4, 10)
 	f.run(t, 15*time.Second)
 	f.storeDown = true
@@ -482,9 +483,9 @@
 	require.Equal(t, []string{"r-0-0", "r-1-0", "r-2-0"}, f.readers())
 }
 
-// Random faults, one after the other and together, then calm: everybody knows all and one
-// replica of each zone reads.
-func TestRandomFaultsLeaveAFleetThatKnowsAll(t *testing.T) {
+// After random faults, sequential and simultaneous, end, every process has all changes and one
+// replica of each zone reads the store.
+func TestFleetConvergesAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newVirtualFleet(rt, rapid.Uint64().Draw(rt, "seed"), 2, 3, 2)
 		f.run(rt, 5*time.Second)
--- a/internal/feed/follow.go
+++ b/internal/feed/follow.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a connection to an upstream. An opening packet that
-	// is lost, as while a machine starts, is sent again by the kernel after a second; a new
-	// try comes sooner. Round trips between zones are far below.
+	// dialTimeout bounds a connection attempt to an upstream. The kernel retransmits a lost
+	// SYN, for example while a machine starts, only after a second; a new attempt is faster.
+	// Round trips between zones are far shorter than the timeout.
 	dialTimeout = 150 * time.Millisecond
-	// bufferBytes is the size of the buffers of a connection.
+	// bufferBytes is the size of the read buffer of a connection.
 	bufferBytes = 8 << 10
 )
 
-// runFollowing polls the upstream that is to be followed, until the context ends.
+// runFollowing polls the upstream of the applied decision until the context ends.
 func (n *Node) runFollowing(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -41,11 +41,11 @@
 	}
 }
 
-// awaitUpstream waits until there is another upstream than the one that ended.
-func (n *Node) awaitUpstream(ctx context.Context, ended *Upstream) {
+// awaitUpstream waits until the decision names another upstream than the previous one.
+func (n *Node) awaitUpstream(ctx context.Context, previous *Upstream) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		changed := n.applied.Follow != ended
+		changed := n.applied.Follow != previous
 		n.mu.Unlock()
 		if changed {
 			return
@@ -59,7 +59,7 @@
 
 func (n *Node) upstreamFailed(upstream Upstream, err error) {
 	n.log.Warn().Str("event", "upstream_failed").Str("peer", upstream.Node).Str("address", upstream.Address).Err(err).Msg("")
-	n.step(func(now time.Time) Output[asker] { return n.core.Failed(now, upstream) })
+	n.step(func(now time.Time) Output[pollConnection] { return n.core.HandleUpstreamFailure(now, upstream) })
 }
 
 // follow polls one upstream until it fails or the context ends.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return fmt.Errorf("feed: %w", err)
 	}
-	n.useless = connection.RemoteAddr().String()
+	n.staleAddress = connection.RemoteAddr().String()
 	defer connection.Close()
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -80,56 +80,56 @@
 			return err
 		}
 		if reply.Status.Fresh() {
-			n.useless = ""
+			n.staleAddress = ""
 		}
-		n.step(func(now time.Time) Output[asker] { return n.core.Heard(now, upstream, reply) })
+		n.step(func(now time.Time) Output[pollConnection] { return n.core.HandleReply(now, upstream, reply) })
 	}
 }
 
-// addressesOf returns where to poll an upstream. Of several addresses the one that was
-// connected last and had nothing fresh to tell is left out once.
+// addressesOf returns the addresses to dial for an upstream. Of several addresses it omits,
+// once, the one that was connected last and sent no fresh data.
 func (n *Node) addressesOf(upstream Upstream) []string {
 	addresses := strings.Split(upstream.Address, addressSeparator)
 	if len(addresses) > 1 {
-		addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == n.useless })
+		addresses = slices.DeleteFunc(addresses, func(address string) bool { return address == n.staleAddress })
 	}
-	n.useless = ""
+	n.staleAddress = ""
 	return addresses
 }
 
-// dialed is the end of one try to connect.
-type dialed struct {
+// dialResult is the result of one connection attempt.
+type dialResult struct {
 	connection net.Conn
 	err        error
 }
 
-// dialAny connects to all addresses at the same time and returns the first connection, or
-// the last error.
+// dialAny dials all addresses concurrently and returns the first connection, or the last
+// error if all attempts fail.
 func dialAny(ctx context.Context, addresses []string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
-	results := make(chan dialed, len(addresses))
+	results := make(chan dialResult, len(addresses))
 	for _, address := range addresses {
 		go func() {
 			connection, err := peer.Dialer(dialTimeout).DialContext(ctx, "tcp", address)
-			results <- dialed{connection: connection, err: err}
+			results <- dialResult{connection: connection, err: err}
 		}()
 	}
-	var last error
-	for tried := range addresses {
+	var lastErr error
+	for received := range addresses {
 		result := <-results
 		if result.err != nil {
-			last = result.err
+			lastErr = result.err
 			continue
 		}
-		go closeRest(cancel, results, len(addresses)-tried-1)
+		go closeRemaining(cancel, results, len(addresses)-received-1)
 		return result.connection, nil
 	}
 	cancel()
-	return nil, last
+	return nil, lastErr
 }
 
-// closeRest ends the tries that came second.
-func closeRest(cancel context.CancelFunc, results <-chan dialed, count int) {
+// closeRemaining cancels the other connection attempts and closes those that succeeded.
+func closeRemaining(cancel context.CancelFunc, results <-chan dialResult, count int) {
 	cancel()
 	for range count {
 		if result := <-results; result.err == nil {
@@ -138,17 +138,17 @@
 	}
 }
 
-// poll asks once and waits for the answer.
+// poll sends one request and waits for the reply, for at most answerTimeout.
 func poll(connection net.Conn, encoder *gob.Encoder, decoder *gob.Decoder, request Request) (Reply, error) {
 	if err := connection.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
 		return Reply{}, fmt.Errorf("feed: %w", err)
 	}
 	if err := encoder.Encode(request); err != nil {
-		return Reply{}, fmt.Errorf("feed: ask: %w", err)
+		return Reply{}, fmt.Errorf("feed: send poll: %w", err)
 	}
 	var reply Reply
 	if err := decoder.Decode(&reply); err != nil {
-		return Reply{}, fmt.Errorf("feed: answer: %w", err)
+		return Reply{}, fmt.Errorf("feed: receive reply: %w", err)
 	}
 	return reply, nil
 }
--- a/internal/feed/informer.go
+++ b/internal/feed/informer.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	// watchWait is how long a watch may wait at the store, which allows 30 s.
+	// watchWait is how long the store may hold a watch open. The store allows 30 s.
 	watchWait = 29 * time.Second
-	// watchSlack is added before a watch without an answer is given up.
-	watchSlack = 2 * time.Second
-	// listTimeout bounds a list, which may take several calls.
+	// watchTimeoutMargin is added to watchWait for the timeout of the call.
+	watchTimeoutMargin = 2 * time.Second
+	// listTimeout bounds a list, which may take several calls to the store.
 	listTimeout = 2 * time.Second
-	// retryFirst and retryMost bound the pause after a failed call.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// lostRetry is the pause after a failed call while the monitor says that the store does
-	// not answer: the monitor asks on for all kinds, and wakes each when it is back.
-	lostRetry = 4 * time.Second
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed call.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// lostRetryDelay is the pause after a failed call while the monitor reports the store as
+	// lost. The monitor keeps probing for all kinds and wakes every informer on recovery.
+	lostRetryDelay = 4 * time.Second
 )
 
-// informer reads one kind from the store.
+// informer lists and watches one kind in the store.
 type informer struct {
 	store Store
-	known knowledge
+	sink  storeSink
 	kind  Kind
-	// urgent kinds must be known within a second.
+	// urgent is set for kinds whose changes must arrive within a second.
 	urgent bool
-	// pacer lets several changes come by one answer.
+	// pacer delays the next watch so that one answer returns several changes.
 	pacer pacer
-	// forgotten is set when the store has forgotten the history after our position.
-	forgotten bool
-	// confirmed is set once the store has told of all changes so far.
-	confirmed bool
+	// historyExpired is set when the store no longer has the changes after our position, so
+	// that the kind must be listed again.
+	historyExpired bool
+	// caughtUp is set once a list or watch has succeeded.
+	caughtUp bool
 
-	// lost is set while the monitor says that the store does not answer; woken is signalled
-	// when a new watch is wanted.
-	lost  atomic.Bool
-	woken chan struct{}
-	// reached is closed once the store has answered the monitor.
-	reached <-chan struct{}
+	// lost is set by the monitor while the store does not answer; wake is signalled to end a
+	// pause after a failure early.
+	lost atomic.Bool
+	wake chan struct{}
+	// storeReached is closed by the monitor once the store has answered a probe.
+	storeReached <-chan struct{}
 
 	mu sync.Mutex
-	// cancel ends the watch under way.
+	// cancel ends the current watch.
 	cancel context.CancelFunc
 }
 
-// restart ends the watch under way, or the pause after a failure, so that a new one begins at
+// restart ends the current watch, or the pause after a failure, so that a new watch begins at
 // once.
 func (i *informer) restart() {
 	select {
-	case i.woken <- struct{}{}:
+	case i.wake <- struct{}{}:
 	default:
 	}
 	i.mu.Lock()
@@ -65,76 +66,77 @@
 	}
 }
 
-// run lists and watches until the context ends. What is known stays in force while
-// the store cannot be reached.
+// run lists and watches until the context ends. The records received so far stay in force
+// while the store cannot be reached.
 func (i *informer) run(ctx context.Context) {
 	i.awaitStore(ctx)
-	pause := retryFirst
+	pause := minRetryDelay
 	for ctx.Err() == nil {
 		err := i.step(ctx)
 		switch {
 		case err == nil:
-			pause = retryFirst
+			pause = minRetryDelay
 			wait.For(ctx, i.pacer.next(time.Now()))
 		case errors.Is(err, ErrHistoryExpired):
-			i.forgotten = true
-		case errors.Is(err, context.Canceled): // the monitor wants a new watch
+			i.historyExpired = true
+		case errors.Is(err, context.Canceled): // restarted by the monitor
 		default:
-			i.known.callFailed(i.kind, err)
+			i.sink.callFailed(i.kind, err)
 			i.pauseAfterFailure(ctx, pause)
-			pause = min(2*pause, retryMost)
+			pause = min(2*pause, maxRetryDelay)
 		}
 	}
 }
 
-// awaitStore waits until the store has answered a probe, where something is known already:
-// when it is away for all, every process of the fleet begins to read, and one cheap probe of
-// each finds out as much as a call for each kind.
+// awaitStore waits until the store has answered a probe, unless nothing is known of the kind
+// yet. When the store is unavailable to all, every process of the fleet begins to read, and one
+// cheap probe from each gives the same information as a call for each kind.
 func (i *informer) awaitStore(ctx context.Context) {
-	if !i.known.position(i.kind).Known {
+	if !i.sink.position(i.kind).Known {
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-i.reached:
+	case <-i.storeReached:
 	}
 }
 
-// pauseAfterFailure waits until the next call. While the store is lost to this process, calls
-// of four kinds and more each second would find out nothing that the monitor's probe does not.
+// pauseAfterFailure waits before the next call. While the store is lost, calls for four or more
+// kinds each second would find out nothing beyond what the monitor's probe does.
 func (i *informer) pauseAfterFailure(ctx context.Context, pause time.Duration) {
 	if i.lost.Load() {
-		pause = lostRetry
+		pause = lostRetryDelay
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-i.woken:
+	case <-i.wake:
 	}
 }
 
+// step lists or watches once and passes the result to the sink.
 func (i *informer) step(ctx context.Context) error {
-	position := i.known.position(i.kind)
-	if !position.Known || i.forgotten {
+	position := i.sink.position(i.kind)
+	if !position.Known || i.historyExpired {
 		return i.list(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, watchWait+watchTimeoutMargin)
 	defer cancel()
 	i.mu.Lock()
 	i.cancel = cancel
 	i.mu.Unlock()
-	longest := watchWait
-	if !i.confirmed {
-		longest = 0 // what is known may be old: the store tells at once whether it is
+	maxWait := watchWait
+	if !i.caughtUp {
+		maxWait = 0 // the data may be old, so get an answer at once
 	}
-	records, at, err := i.store.Watch(ctx, i.kind, position.At, longest, false)
+	records, at, err := i.store.Watch(ctx, i.kind, position.At, maxWait, false)
 	if err != nil {
 		return err
 	}
-	i.confirmed = true
-	i.known.read(Batch{Kind: i.kind, After: position.At, At: at, Records: records})
+	i.caughtUp = true
+	i.sink.applyBatch(Batch{Kind: i.kind, After: position.At, At: at, Records: records})
 	return nil
 }
 
@@ -145,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	i.forgotten, i.confirmed = false, true
-	i.known.read(Batch{Kind: i.kind, Snapshot: true, At: at, Records: records})
+	i.historyExpired, i.caughtUp = false, true
+	i.sink.applyBatch(Batch{Kind: i.kind, Snapshot: true, At: at, Records: records})
 	return nil
 }
--- a/internal/feed/monitor.go
+++ b/internal/feed/monitor.go
@@ -9,36 +9,35 @@
 )
 
 const (
-	// probeInterval is how often the store is asked whether it answers; probeTimeout is
-	// how long an answer may take.
+	// probeInterval is the time between probes of the store; probeTimeout bounds each probe.
 	probeInterval = time.Second
 	probeTimeout  = 900 * time.Millisecond
-	// probeRetryFirst and probeRetryMost bound the pause between probes while the store
-	// does not answer. A reader notices its return within a second.
-	probeRetryFirst = 200 * time.Millisecond
-	probeRetryMost  = 800 * time.Millisecond
-	// slowRounds is how many rounds pass between the probes of kinds that may be late.
-	slowRounds = 8
-	// urgentRounds is how many rounds may pass between the probes of an urgent kind.
-	urgentRounds = 2
+	// minProbeRetryDelay and maxProbeRetryDelay bound the backoff between probes while the
+	// store does not answer. A reader notices its recovery within a second.
+	minProbeRetryDelay = 200 * time.Millisecond
+	maxProbeRetryDelay = 800 * time.Millisecond
+	// slowKindRounds is the number of rounds between probes of kinds that are not urgent.
+	slowKindRounds = 8
+	// urgentKindRounds is the maximum number of rounds between two probes of an urgent kind.
+	urgentKindRounds = 2
 )
 
-// monitor finds out whether the store answers and whether a waiting watch missed a
-// change: a watch cannot tell a store without news from one that forgot the watch
-// or its history. A probe is a watch that does not wait and may be stale, which
-// costs a tenth of a call.
+// monitor detects whether the store answers and whether an open watch missed a change. A
+// watch cannot distinguish a store without changes from one that dropped the watch or its
+// history. A probe is a watch that does not wait and may read stale data, which costs the
+// store a tenth of a regular call.
 type monitor struct {
 	store     Store
-	known     knowledge
+	sink      storeSink
 	informers []*informer
-	// reached is closed once the store has answered.
-	reached chan struct{}
+	// storeReached is closed once the store has answered a probe.
+	storeReached chan struct{}
 }
 
 // run probes until the context ends.
 func (m *monitor) run(ctx context.Context) {
 	lost, reached := false, false
-	pause := probeRetryFirst
+	pause := minProbeRetryDelay
 	for round := 0; ctx.Err() == nil; round++ {
 		err := m.probeAll(ctx, round)
 		if ctx.Err() != nil {
@@ -47,28 +46,27 @@
 		if (err != nil) != lost {
 			lost = err != nil
 			m.setLost(lost)
-			m.known.contact(err)
+			m.sink.storeStateChanged(err)
 			if !lost {
 				m.restartAll()
 			}
 		}
 		if lost {
 			wait.For(ctx, pause)
-			pause = min(2*pause, probeRetryMost)
+			pause = min(2*pause, maxProbeRetryDelay)
 			continue
 		}
 		if !reached {
 			reached = true
-			close(m.reached)
+			close(m.storeReached)
 		}
-		pause = probeRetryFirst
+		pause = minProbeRetryDelay
 		wait.For(ctx, probeInterval)
 	}
 }
 
-// probeAll probes the kinds that are due and returns the error of a store that does
-// not answer. Urgent kinds take turns, so that each is asked about in at least every second
-// round.
+// probeAll probes the kinds that are due and returns an error if the store does not answer.
+// Urgent kinds take turns, so that each is probed at least every second round.
 func (m *monitor) probeAll(ctx context.Context, round int) error {
 	for _, informer := range m.due(round) {
 		if err := m.probe(ctx, informer); err != nil {
@@ -78,7 +76,7 @@
 	return nil
 }
 
-// due returns the informers to probe in a round.
+// due returns the informers to probe in the given round.
 func (m *monitor) due(round int) []*informer {
 	var urgent, slow []*informer
 	for _, informer := range m.informers {
@@ -95,20 +93,22 @@
 		return []*informer{slow[round%len(slow)]}
 	}
 	var due []*informer
-	most := (len(urgent) + urgentRounds - 1) / urgentRounds
-	for offset := range most {
-		due = append(due, urgent[(round*most+offset)%len(urgent)])
+	perRound := (len(urgent) + urgentKindRounds - 1) / urgentKindRounds
+	for offset := range perRound {
+		due = append(due, urgent[(round*perRound+offset)%len(urgent)])
 	}
-	if len(slow) > 0 && round%slowRounds == 0 {
-		due = append(due, slow[round/slowRounds%len(slow)])
+	if len(slow) > 0 && round%slowKindRounds == 0 {
+		due = append(due, slow[round/slowKindRounds%len(slow)])
 	}
 	return due
 }
 
+// probe restarts the informer's watch if the store has changes that the watch did not deliver,
+// and returns an error if the store does not answer.
 func (m *monitor) probe(ctx context.Context, informer *informer) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	position := m.known.position(informer.kind)
+	position := m.sink.position(informer.kind)
 	records, _, err := m.store.Watch(ctx, informer.kind, position.At, 0, true)
 	if errors.Is(err, ErrHistoryExpired) {
 		informer.restart()
@@ -119,14 +119,14 @@
 	}
 	switch {
 	case len(records) == 0:
-		m.known.confirmed(informer.kind)
-	case m.known.position(informer.kind) == position:
+		m.sink.confirmKind(informer.kind)
+	case m.sink.position(informer.kind) == position:
 		informer.restart()
 	}
 	return nil
 }
 
-// setLost tells the informers whether the store answers.
+// setLost sets on all informers whether the store is lost.
 func (m *monitor) setLost(lost bool) {
 	for _, informer := range m.informers {
 		informer.lost.Store(lost)
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -22,146 +22,148 @@
 )
 
 const (
-	// tickInterval drives the core. Ten wake-ups a second keep what it decides by time
-	// within a tenth of answerTimeout.
+	// tickInterval is the interval between calls of Core.Tick. Ten ticks a second keep the
+	// core's timeouts accurate to a tenth of answerTimeout.
 	tickInterval = 100 * time.Millisecond
-	// awaitLimit is how long AwaitMembers waits: a fleet that starts for the first time
-	// needs what its processes write next.
-	awaitLimit = 2 * time.Second
-	awaitPause = 50 * time.Millisecond
+	// awaitMembersTimeout bounds AwaitMembers. It is short because a fleet that starts for the
+	// first time depends on what its processes write next.
+	awaitMembersTimeout  = 2 * time.Second
+	awaitMembersInterval = 50 * time.Millisecond
 )
 
 const (
-	// replicaReadAfter is how long a replica leaves reading to each one before it.
-	replicaReadAfter = 300 * time.Millisecond
-	// gatewayReadAfter is how long a gateway looks for a fresh upstream before it reads the
-	// store itself, plus a drawn part of gatewayReadSpread and processReadSpread for each
-	// process of the fleet: when the store is away for all, at most 50 processes a second
-	// begin to ask it.
-	gatewayReadAfter  = time.Second
+	// replicaReadDelay is how long a replica waits for each replica that ranks before it to
+	// read the store.
+	replicaReadDelay = 300 * time.Millisecond
+	// gatewayReadDelay is how long a gateway looks for a fresh upstream before it reads the
+	// store itself. A random part of gatewayReadSpread plus processReadSpread for each process
+	// of the fleet is added: when the store is unavailable to all, at most 50 processes a
+	// second begin to call it.
+	gatewayReadDelay  = time.Second
 	gatewayReadSpread = time.Second
 	processReadSpread = 20 * time.Millisecond
-	// restartReadAfter is how long a gateway that was restarted and knows nothing waits for
-	// its seeds, which answer within milliseconds if they are up. After a loss of all power
-	// they may be up later than the gateway, and callers wait.
-	restartReadAfter = 100 * time.Millisecond
+	// restartReadDelay is how long a restarted gateway without data waits for its seeds, which
+	// answer within milliseconds if they are running. After a power loss of the whole site
+	// they may start later than the gateway, while callers are already waiting.
+	restartReadDelay = 100 * time.Millisecond
 )
 
-// readAfter returns how long a process of the role looks for an upstream before it reads.
-// At the first start of a whole fleet nobody calls yet, and hundreds of gateways wait for
-// their seeds.
-func readAfter(role string, firstStart bool) func(upstreams, processes int) time.Duration {
+// readDelay returns the function that says how long a process of the role looks for a fresh
+// upstream before it reads the store. At the first start of a whole fleet there are no callers
+// yet, and hundreds of gateways wait for their seeds, so the short restartReadDelay is not used.
+func readDelay(role string, firstStart bool) func(upstreams, processes int) time.Duration {
 	if role == replicaset.RoleReplica {
-		return func(upstreams, _ int) time.Duration { return time.Duration(upstreams) * replicaReadAfter }
+		return func(upstreams, _ int) time.Duration { return time.Duration(upstreams) * replicaReadDelay }
 	}
 	return func(upstreams, processes int) time.Duration {
 		switch {
 		case upstreams == 0:
 			return 0
 		case processes == 0 && !firstStart:
-			return restartReadAfter
+			return restartReadDelay
 		}
 		spread := gatewayReadSpread + time.Duration(processes)*processReadSpread
-		return gatewayReadAfter + rand.N(spread)
+		return gatewayReadDelay + rand.N(spread)
 	}
 }
 
-// Handlers are told what changed, in the order of revisions, one call at a time. Each may
-// be nil. They must not call back into the Node.
+// Handlers are called with changes in the order of revisions, one call at a time. Each may be
+// nil. They must not call back into the Node.
 type Handlers struct {
-	// Status is told when knowledge turns stale or fresh, confirmed or not.
+	// Status is called with the first status and when Status.Fresh or Status.Confirmed changes.
 	Status        func(Status)
 	Configuration func(*route.Table)
-	// Instances gets what became of the instances, all of them at first, and whether some may
-	// be missing.
+	// Instances gets the changed instances, all of them in the first call, and whether the list
+	// may be incomplete.
 	Instances   func(changes backend.Changes, incomplete bool)
 	Members     func([]registry.Object)
 	Retirements func(map[string]RetirementState)
-	// Evacuations gets the zones whose instances are to get nothing further. It is told
-	// before Instances.
+	// Evacuations gets the zones whose instances must get no further work. It is called before
+	// Instances.
 	Evacuations func(zones []string)
 }
 
-// Metrics are told what the feed does.
+// Metrics receives measurements of the feed.
 type Metrics interface {
-	// FeedAge is how old the knowledge is, in seconds, each tick; reading says whether
-	// this process reads the store itself.
+	// FeedAge gets the age of the data in seconds on each tick, and whether this process reads
+	// the store itself.
 	FeedAge(seconds float64, reading bool)
 }
 
-// Options are what a Node is made of.
+// Options configure a Node.
 type Options struct {
 	Node   string
 	Zone   string
 	Places place.Map
 	// Role is replicaset.RoleReplica or replicaset.RoleGateway.
 	Role string
-	// FirstStart says that the whole fleet starts for the first time.
+	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
-	// Seeds are addresses of upstreams known before any replica is.
+	// Seeds are addresses of upstreams to use until a replica is known.
 	Seeds []string
-	// Evacuations says that the operator may evacuate zones.
+	// Evacuations is set when the operator may evacuate zones.
 	Evacuations bool
 
 	Store    Store
 	Handlers Handlers
 	Metrics  Metrics
-	// Traffic counts what is sent to processes that follow this one.
+	// Traffic counts the bytes sent to processes that follow this one.
 	Traffic *traffic.Counter
 	Log     *log.Logger
-	// StoreStateChanged is told that the store is lost to this process while it reads it, or
-	// reached again; StoreFailed of each call to the store that failed.
+	// StoreStateChanged is called with an error when the store stops answering while this
+	// process reads it, and with nil when it answers again. It may be nil. StoreCallFailed is
+	// called for each failed call to the store, and may be nil too.
 	StoreStateChanged func(err error)
-	StoreCallFailed  func(kind string, err error)
+	StoreCallFailed   func(kind string, err error)
 }
 
-// asker is a process that polls this one.
-type asker = *peer.Connection[Reply]
+// pollConnection is the connection of a follower that polls this process.
+type pollConnection = *peer.Connection[Reply]
 
 // Node drives a Core with sockets, timers and the store.
 type Node struct {
 	options Options
 	log     *log.Logger
 
-	// delivery makes the handlers' calls come one by one in the order of the changes. It
-	// is taken before mu.
-	delivery sync.Mutex
+	// deliveryMu serializes the calls of handlers in the order of the changes. It is locked
+	// before mu.
+	deliveryMu sync.Mutex
 
 	mu   sync.Mutex
-	core *Core[asker]
-	// applied is the decision that is carried out.
+	core *Core[pollConnection]
+	// applied is the decision in force.
 	applied Decision
-	// wakeFollow and wakeRead tell the loops that follow and read of a new decision;
-	// stopFollow and stopRead end what is under way.
+	// wakeFollow and wakeRead signal a new decision to the loops that follow and read;
+	// stopFollow and stopRead cancel their current work.
 	wakeFollow, wakeRead chan struct{}
 	stopFollow, stopRead context.CancelFunc
-	// useless is the address that was connected last, while nothing fresh came from there.
-	// It belongs to the loop that follows.
-	useless string
+	// staleAddress is the address that was connected last, until fresh data arrives from it.
+	// Only runFollowing uses it.
+	staleAddress string
 }
 
-// NewNode returns a node that knows nothing yet.
+// NewNode returns a node with an empty cache. Run must be called to fill it.
 func NewNode(options Options) *Node {
 	return &Node{
 		options: options, log: options.Log,
-		core: NewCore[asker](CoreOptions{
+		core: NewCore[pollConnection](CoreOptions{
 			Node: options.Node, Zone: options.Zone, Places: options.Places, Role: options.Role, Seeds: options.Seeds,
 			Evacuations: options.Evacuations,
-			ReadAfter:   readAfter(options.Role, options.FirstStart),
+			ReadDelay:   readDelay(options.Role, options.FirstStart),
 		}),
 		wakeFollow: make(chan struct{}, 1), wakeRead: make(chan struct{}, 1),
 		stopFollow: func() {}, stopRead: func() {},
 	}
 }
 
-// Load takes a copy that a disk kept, before Run.
+// Load applies a copy read from disk. It must be called before Run.
 func (n *Node) Load(batches []Batch) {
-	n.step(func(now time.Time) Output[asker] { return n.core.Load(now, batches) })
+	n.step(func(now time.Time) Output[pollConnection] { return n.core.Load(now, batches) })
 }
 
-// Run keeps the knowledge up to date until the context ends.
+// Run keeps the cache up to date until the context ends.
 func (n *Node) Run(ctx context.Context) {
-	n.step(func(now time.Time) Output[asker] { return n.core.Begin(now) })
+	n.step(func(now time.Time) Output[pollConnection] { return n.core.Start(now) })
 	var running conc.WaitGroup
 	running.Go(func() { n.runFollowing(ctx) })
 	running.Go(func() { n.runReading(ctx) })
@@ -178,7 +180,7 @@
 }
 
 func (n *Node) tick() {
-	n.step(func(now time.Time) Output[asker] { return n.core.Tick(now) })
+	n.step(func(now time.Time) Output[pollConnection] { return n.core.Tick(now) })
 	if n.options.Metrics != nil {
 		n.mu.Lock()
 		age, reading := n.core.Status(time.Now()).Age, n.applied.Reading
@@ -187,41 +189,42 @@
 	}
 }
 
-// step gives the core an event and does what it says.
-func (n *Node) step(event func(now time.Time) Output[asker]) {
-	n.delivery.Lock()
-	defer n.delivery.Unlock()
+// step passes an event to the core and carries out its output.
+func (n *Node) step(event func(now time.Time) Output[pollConnection]) {
+	n.deliveryMu.Lock()
+	defer n.deliveryMu.Unlock()
 	n.mu.Lock()
 	output := event(time.Now())
-	n.apply(output.Decision)
+	n.applyDecision(output.Decision)
 	n.mu.Unlock()
-	n.answer(output)
-	n.tell(output)
+	n.sendReplies(output)
+	n.notify(output)
 }
 
-// answer sends the answers to polls. An asker that is gone asks again elsewhere.
-func (n *Node) answer(output Output[asker]) {
-	for _, answer := range output.Answers {
+// sendReplies sends the replies to polls. A follower whose connection is closed polls another
+// upstream.
+func (n *Node) sendReplies(output Output[pollConnection]) {
+	for _, answer := range output.Replies {
 		answer.To.Send(answer.Reply)
 	}
 }
 
-// tell hands changes to those who use them.
-func (n *Node) tell(output Output[asker]) {
-	for _, refusal := range output.Refusals {
-		n.log.Warn().Str("event", "feed_batch_refused").Str("kind", refusal.Kind.String()).
-			Bool("gap", refusal.Outcome == Gap).Uint64("after", refusal.After).Uint64("at", refusal.At).Msg("")
+// notify logs rejected batches and calls the handlers.
+func (n *Node) notify(output Output[pollConnection]) {
+	for _, rejected := range output.RejectedBatches {
+		n.log.Warn().Str("event", "feed_batch_refused").Str("kind", rejected.Kind.String()).
+			Bool("gap", rejected.Outcome == Gap).Uint64("after", rejected.After).Uint64("at", rejected.At).Msg("")
 	}
 	if output.Status != nil && n.options.Handlers.Status != nil {
 		n.options.Handlers.Status(*output.Status)
 	}
 	for _, change := range output.Changes {
-		n.options.Handlers.changed(change, output.Incomplete)
+		n.options.Handlers.dispatch(change, output.Incomplete)
 	}
 }
 
-// changed calls the handler of a kind.
-func (h Handlers) changed(change Change, incomplete bool) {
+// dispatch calls the handler for the kind of the change.
+func (h Handlers) dispatch(change Change, incomplete bool) {
 	switch {
 	case change.Kind == Configurations && h.Configuration != nil:
 		for _, record := range change.Records {
@@ -251,7 +254,7 @@
 	}
 }
 
-// instances returns a change of instances in the terms of those who place work on them.
+// instances converts a change of instances to backend.Changes.
 func (c Change) instances() backend.Changes {
 	changes := backend.Changes{All: c.All, Listed: make([]backend.Instance, 0, len(c.Records))}
 	for _, record := range c.Records {
@@ -264,8 +267,8 @@
 	return changes
 }
 
-// apply carries out a decision. The caller holds the lock.
-func (n *Node) apply(next Decision) {
+// applyDecision carries out a decision. The caller must hold mu.
+func (n *Node) applyDecision(next Decision) {
 	previous := n.applied
 	n.applied = next
 	if !sameUpstream(next.Follow, previous.Follow) {
@@ -303,7 +306,7 @@
 		Str("zone", upstream.Zone).Dur("age", n.core.Status(time.Now()).Age).Bool("reading", next.Reading).Msg("")
 }
 
-// Serve answers polls at an address until the context ends.
+// Serve listens on the address and answers polls until the context ends.
 func (n *Node) Serve(ctx context.Context, address string) error {
 	listener, err := peer.Listen(ctx, address)
 	if err != nil {
@@ -314,38 +317,37 @@
 }
 
 func (n *Node) serve(ctx context.Context, listener net.Listener) {
-	server := peer.NewServer(listener, n.asked)
+	server := peer.NewServer(listener, n.handlePoll)
 	server.CountSent(func(to net.Addr, _ Reply, bytes int) { n.options.Traffic.SentTo("feed", to, bytes) })
 	stop := context.AfterFunc(ctx, server.Close)
 	defer stop()
 	server.Run()
 }
 
-// asked takes one poll. It changes nothing that handlers are told of, and does not wait
-// for them.
-func (n *Node) asked(from asker, request Request) {
+// handlePoll handles one poll. It causes no handler calls and does not wait for any.
+func (n *Node) handlePoll(from pollConnection, request Request) {
 	n.mu.Lock()
-	output := n.core.Asked(time.Now(), from, request)
+	output := n.core.HandlePoll(time.Now(), from, request)
 	n.mu.Unlock()
-	n.answer(output)
+	n.sendReplies(output)
 }
 
-// Snapshot returns all that is known.
+// Snapshot returns the contents of the cache.
 func (n *Node) Snapshot() []Batch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.Cache().Snapshot()
 }
 
-// Positions returns up to where each kind is known.
+// Positions returns the position of each kind.
 func (n *Node) Positions() Positions {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.Cache().Positions()
 }
 
-// Member returns one of the product's own objects, if the store has told of it in the
-// lives of this process and those that it learns from.
+// Member returns the member object of that name. It reports false if there is none or the data
+// is not confirmed (see Status.Confirmed).
 func (n *Node) Member(name string) (registry.Object, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -353,19 +355,19 @@
 	return record.object(), exists && n.core.Status(time.Now()).Confirmed
 }
 
-// Status returns what the knowledge is worth now.
+// Status returns the current status of the data.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.Status(time.Now())
 }
 
-// AwaitMembers waits until the store has told of the product's own objects, but not for
-// long.
+// AwaitMembers waits until the members are known and confirmed, for at most
+// awaitMembersTimeout.
 func (n *Node) AwaitMembers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, awaitLimit)
+	ctx, cancel := context.WithTimeout(ctx, awaitMembersTimeout)
 	defer cancel()
-	for wait.For(ctx, awaitPause) {
+	for wait.For(ctx, awaitMembersInterval) {
 		if n.Status().Confirmed && n.Positions()[Members].Known {
 			return
 		}
--- a/internal/feed/node_test.go
+++ b/internal/feed/node_test.go
@@ -21,9 +21,9 @@
 	"swiftbank.dev/swiftbank/internal/route"
 )
 
-func quiet() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
+func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
-// memoryStore is a Store in memory that can be made to fail.
+// memoryStore is an in-memory Store that can be made to fail.
 type memoryStore struct {
 	mu      sync.Mutex
 	failing bool
@@ -37,14 +37,14 @@
 	return &memoryStore{content: map[Kind][]Record{}, at: 1, changed: make(chan struct{})}
 }
 
-var errAway = errors.New("the store is away")
+var errStoreDown = errors.New("store unavailable")
 
 func (s *memoryStore) List(_ context.Context, kind Kind) ([]Record, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
 	if s.failing {
-		return nil, 0, errAway
+		return nil, 0, errStoreDown
 	}
 	return s.content[kind], s.at, nil
 }
@@ -63,7 +63,7 @@
 		failing, at, changed := s.failing, s.at, s.changed
 		s.mu.Unlock()
 		if failing {
-			return nil, 0, errAway
+			return nil, 0, errStoreDown
 		}
 		if len(records) > 0 || last {
 			return records, at, nil
@@ -104,10 +104,10 @@
 }
 
 func (s *memoryStore) putConfiguration(version uint64) {
-	s.put(Configurations, Record{Name: "main", Configuration: ConfigurationOf(tableOf(version))})
+	s.put(Configurations, Record{Name: "main", Configuration: ConfigurationOf(newTable(version))})
 }
 
-func tableOf(version uint64) *route.Table {
+func newTable(version uint64) *route.Table {
 	routes := []*route.Route{
 		{Name: "a", Host: "one.test", Prefix: "/a/", Kind: route.Safe, Timeout: time.Second, Targets: []route.Target{{Service: "apps", Weight: 1}}},
 		{Name: "b", Host: "one.test", Prefix: "/a/b/", Kind: route.Streaming, Retained: true, Targets: []route.Target{{Service: "llm", Weight: 1}}},
@@ -115,8 +115,8 @@
 	return route.NewTable(version, routes, []route.Service{{Name: "apps"}, {Name: "llm", Generates: true, TokensPerEvent: 9}}, route.Limits{BodyBytes: 100})
 }
 
-// listener is a process's node and what it was told.
-type listener struct {
+// testNode is a running Node and what its handlers received.
+type testNode struct {
 	*Node
 	address string
 	stop    context.CancelFunc
@@ -127,8 +127,8 @@
 	statuses  []Status
 }
 
-// apply follows the changes of the list of instances.
-func (l *listener) apply(changes backend.Changes) {
+// apply applies changes to the list of instances.
+func (l *testNode) apply(changes backend.Changes) {
 	if changes.All {
 		l.instances = map[string]backend.Instance{}
 	}
@@ -140,20 +140,20 @@
 	}
 }
 
-func (l *listener) locked(do func()) {
+func (l *testNode) withLock(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do()
 }
 
 // startNode runs a node that serves polls on a loopback address.
-func startNode(t *testing.T, options Options, batches []Batch) *listener {
-	l := &listener{}
-	options.Log = quiet()
+func startNode(t *testing.T, options Options, batches []Batch) *testNode {
+	l := &testNode{}
+	options.Log = discardLogger()
 	options.Handlers = Handlers{
-		Configuration: func(table *route.Table) { l.locked(func() { l.table = table }) },
-		Instances:     func(changes backend.Changes, _ bool) { l.locked(func() { l.apply(changes) }) },
-		Status:        func(status Status) { l.locked(func() { l.statuses = append(l.statuses, status) }) },
+		Configuration: func(table *route.Table) { l.withLock(func() { l.table = table }) },
+		Instances:     func(changes backend.Changes, _ bool) { l.withLock(func() { l.apply(changes) }) },
+		Status:        func(status Status) { l.withLock(func() { l.statuses = append(l.statuses, status) }) },
 	}
 	l.Node = NewNode(options)
 	l.Load(batches)
@@ -169,7 +169,7 @@
 	return l
 }
 
-func (l *listener) awaitVersion(t *testing.T, version uint64) {
+func (l *testNode) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		l.mu.Lock()
@@ -178,9 +178,9 @@
 	}, 30*time.Second, 5*time.Millisecond)
 }
 
-// awaitInstances waits for the first list of instances: it comes by a call of its own, and
-// from a replica that is still reading in a later answer than the configuration.
-func (l *listener) awaitInstances(t *testing.T) {
+// awaitInstances waits for the first list of instances. It arrives in a separate handler call
+// and, from a replica that is still reading, in a later reply than the configuration.
+func (l *testNode) awaitInstances(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		l.mu.Lock()
@@ -189,14 +189,14 @@
 	}, 30*time.Second, 5*time.Millisecond)
 }
 
-// awaitFresh waits until the knowledge is as good as the store's own word: the replica reads
-// each kind by itself, and vouches for them once it has all.
-func (l *listener) awaitFresh(t *testing.T) {
+// awaitFresh waits until the data is fresh: the replica reads each kind separately, and reports
+// confirmed data once it has all of them.
+func (l *testNode) awaitFresh(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool { return l.Status().Fresh() }, 30*time.Second, 5*time.Millisecond)
 }
 
-func TestAGatewayLearnsFromAReplicaAndDoesNotRead(t *testing.T) {
+func TestGatewayFollowsReplicaWithoutReadingStore(t *testing.T) {
 	store, untouched := newMemoryStore(), newMemoryStore()
 	store.putConfiguration(7)
 	store.put(Instances, instance("i-1", 0))
@@ -205,7 +205,7 @@
 	gateway := startNode(t, Options{Node: "g", Zone: "z", Role: replicaset.RoleGateway, FirstStart: true, Seeds: []string{replica.address}, Store: untouched}, nil)
 	gateway.awaitVersion(t, 7)
 	gateway.awaitInstances(t)
-	gateway.locked(func() {
+	gateway.withLock(func() {
 		require.Equal(t, "b", gateway.table.Match("one.test", "/a/b/c").Name)
 		require.True(t, gateway.table.Services["llm"].Generates)
 		require.Equal(t, int64(100), gateway.table.Limits.BodyBytes)
@@ -217,31 +217,31 @@
 	require.Zero(t, untouched.lists)
 }
 
-// The store is away and all processes start: a replica's disk has what they serve from,
-// and it counts as a copy until the store itself speaks.
-func TestAGatewayStartsFromAReplicasDisk(t *testing.T) {
+// While the store is unavailable all processes start: they serve from the copy on a replica's
+// disk, which is not confirmed until the store answers.
+func TestGatewayStartsFromReplicaCopy(t *testing.T) {
 	folder := t.TempDir()
 	store := newMemoryStore()
 	store.putConfiguration(7)
 	store.put(Instances, instance("i-1", 0))
 	before := startNode(t, Options{Node: "r", Zone: "z", Role: replicaset.RoleReplica, Store: store}, nil)
 	before.awaitVersion(t, 7)
-	require.Eventually(t, func() bool { return before.Positions().Complete(kindsRead(false)) }, 30*time.Second, 5*time.Millisecond)
-	_, err := NewCopyFile(folder, quiet()).save(before.Snapshot())
+	require.Eventually(t, func() bool { return before.Positions().Complete(kindsToRead(false)) }, 30*time.Second, 5*time.Millisecond)
+	_, err := NewCopyFile(folder, discardLogger()).save(before.Snapshot())
 	require.NoError(t, err)
 
 	store.fail(true)
-	replica := startNode(t, Options{Node: "r", Zone: "z", Role: replicaset.RoleReplica, Store: store}, NewCopyFile(folder, quiet()).Load())
+	replica := startNode(t, Options{Node: "r", Zone: "z", Role: replicaset.RoleReplica, Store: store}, NewCopyFile(folder, discardLogger()).Load())
 	gateway := startNode(t, Options{Node: "g", Zone: "z", Role: replicaset.RoleGateway, Seeds: []string{replica.address}, Store: store}, nil)
 	gateway.awaitVersion(t, 7)
 	require.False(t, gateway.Status().Confirmed)
 	store.fail(false)
 	require.Eventually(t, func() bool { return gateway.Status().Fresh() }, 30*time.Second, 5*time.Millisecond)
-	gateway.locked(func() { require.True(t, gateway.statuses[len(gateway.statuses)-1].Confirmed) })
+	gateway.withLock(func() { require.True(t, gateway.statuses[len(gateway.statuses)-1].Confirmed) })
 }
 
-// Some seeds are of no use: one refuses, one accepts and never answers.
-func TestOneSeedOfSeveralIsEnough(t *testing.T) {
+// One seed refuses connections and one accepts them but never replies.
+func TestGatewayStartsWithOneWorkingSeed(t *testing.T) {
 	store, untouched := newMemoryStore(), newMemoryStore()
 	store.putConfiguration(7)
 	replica := startNode(t, Options{Node: "r", Zone: "z", Role: replicaset.RoleReplica, Store: store}, nil)
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestAGatewayReadsTheStoreWhenItsUpstreamIsGone(t *testing.T) {
+func TestGatewayReadsStoreWhenUpstreamStops(t *testing.T) {
 	store := newMemoryStore()
 	store.putConfiguration(7)
 	replica := startNode(t, Options{Node: "r", Zone: "z", Role: replicaset.RoleReplica, Store: store}, nil)
@@ -270,14 +270,14 @@
 	gateway.awaitVersion(t, 8)
 }
 
-// A replica that knows less than its asker, as after a restart from an old disk, does not
-// take anything back.
-func TestAnUpstreamThatIsBehindTakesNothingBack(t *testing.T) {
+// A replica with older data than its follower, for example after a restart from an old copy,
+// does not revert the follower.
+func TestOutdatedUpstreamDoesNotRevertGateway(t *testing.T) {
 	store := newMemoryStore()
 	store.putConfiguration(7)
 	first := startNode(t, Options{Node: "r1", Zone: "z", Role: replicaset.RoleReplica, Store: store}, nil)
 	first.awaitVersion(t, 7)
-	require.Eventually(t, func() bool { return first.Positions().Complete(kindsRead(false)) }, 30*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return first.Positions().Complete(kindsToRead(false)) }, 30*time.Second, 5*time.Millisecond)
 	old := first.Snapshot()
 	store.putConfiguration(8)
 	first.awaitVersion(t, 8)
@@ -288,63 +288,63 @@
 	gateway.awaitVersion(t, 8)
 	first.stop()
 	require.Eventually(t, func() bool { return !gateway.Status().Fresh() }, 30*time.Second, 5*time.Millisecond)
-	gateway.locked(func() { require.Equal(t, uint64(8), gateway.table.Version) })
+	gateway.withLock(func() { require.Equal(t, uint64(8), gateway.table.Version) })
 }
 
-func TestHowLongAGatewayWaitsBeforeItReads(t *testing.T) {
-	restarted, first := readAfter(replicaset.RoleGateway, false), readAfter(replicaset.RoleGateway, true)
-	require.Zero(t, restarted(0, 0), "there is nobody else to ask")
-	require.Equal(t, restartReadAfter, restarted(1, 0), "callers wait")
-	require.GreaterOrEqual(t, first(1, 0), gatewayReadAfter, "nobody calls yet")
+func TestReadDelay(t *testing.T) {
+	restarted, first := readDelay(replicaset.RoleGateway, false), readDelay(replicaset.RoleGateway, true)
+	require.Zero(t, restarted(0, 0), "no upstreams")
+	require.Equal(t, restartReadDelay, restarted(1, 0), "callers are waiting")
+	require.GreaterOrEqual(t, first(1, 0), gatewayReadDelay, "no callers yet")
 	for range 100 {
 		wait := restarted(5, 300)
-		require.GreaterOrEqual(t, wait, gatewayReadAfter, "it has something to serve from")
-		require.Less(t, wait, gatewayReadAfter+gatewayReadSpread+300*processReadSpread)
+		require.GreaterOrEqual(t, wait, gatewayReadDelay, "it already has data to serve from")
+		require.Less(t, wait, gatewayReadDelay+gatewayReadSpread+300*processReadSpread)
 	}
-	require.Equal(t, 2*replicaReadAfter, readAfter(replicaset.RoleReplica, false)(2, 300))
+	require.Equal(t, 2*replicaReadDelay, readDelay(replicaset.RoleReplica, false)(2, 300))
 }
 
-func TestTheCopyOutlivesTheProcess(t *testing.T) {
+func TestCopyFileRoundTrip(t *testing.T) {
 	folder := t.TempDir()
-	copied := NewCopyFile(folder, quiet())
+	copyFile := NewCopyFile(folder, discardLogger())
 	batches := []Batch{snapshotAt(10, instance("a", 5), instance("b", 9))}
-	_, err := copied.save(batches)
+	_, err := copyFile.save(batches)
 	require.NoError(t, err)
-	require.Equal(t, batches, NewCopyFile(folder, quiet()).Load())
-	_, err = NewCopyFile(folder, quiet()).save([]Batch{snapshotAt(11)})
+	require.Equal(t, batches, NewCopyFile(folder, discardLogger()).Load())
+	_, err = NewCopyFile(folder, discardLogger()).save([]Batch{snapshotAt(11)})
 	require.NoError(t, err)
 }
 
-func TestATornCopyHoldsNothing(t *testing.T) {
+func TestCopyFileIgnoresTruncatedFile(t *testing.T) {
 	folder := t.TempDir()
-	_, err := NewCopyFile(folder, quiet()).save([]Batch{snapshotAt(10, instance("a", 5))})
+	_, err := NewCopyFile(folder, discardLogger()).save([]Batch{snapshotAt(10, instance("a", 5))})
 	require.NoError(t, err)
 	path := filepath.Join(folder, copyName)
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, length := range []int{0, 1, len(content) / 2, len(content) - 1} {
 		require.NoError(t, os.WriteFile(path, content[:length], 0o600))
-		require.Empty(t, NewCopyFile(folder, quiet()).Load())
+		require.Empty(t, NewCopyFile(folder, discardLogger()).Load())
 	}
 }
 
-// Entries that all lapsed say nothing to a process that starts: the last list stays, at
-// its own revision.
-func TestACopyKeepsTheLastInstances(t *testing.T) {
+// When all entries have expired the copy keeps the last list at its own revision, because an
+// empty list is of no use to a starting process.
+func TestCopyFileKeepsLastInstances(t *testing.T) {
 	folder := t.TempDir()
-	copied := NewCopyFile(folder, quiet())
-	_, err := copied.save([]Batch{snapshotAt(10, instance("a", 5))})
+	copyFile := NewCopyFile(folder, discardLogger())
+	_, err := copyFile.save([]Batch{snapshotAt(10, instance("a", 5))})
 	require.NoError(t, err)
-	_, err = copied.save([]Batch{snapshotAt(12)})
+	_, err = copyFile.save([]Batch{snapshotAt(12)})
 	require.NoError(t, err)
-	again := NewCopyFile(folder, quiet())
-	require.Equal(t, []Batch{snapshotAt(10, instance("a", 5))}, again.Load())
-	_, err = again.save([]Batch{snapshotAt(14)})
+	reopened := NewCopyFile(folder, discardLogger())
+	require.Equal(t, []Batch{snapshotAt(10, instance("a", 5))}, reopened.Load())
+	_, err = reopened.save([]Batch{snapshotAt(14)})
 	require.NoError(t, err)
-	require.Equal(t, []Batch{snapshotAt(10, instance("a", 5))}, NewCopyFile(folder, quiet()).Load(), "also by the next process")
+	require.Equal(t, []Batch{snapshotAt(10, instance("a", 5))}, NewCopyFile(folder, discardLogger()).Load(), "after a restart as well")
 }
 
-// FuzzReply decodes what a broken peer may send and applies it.
+// FuzzReply decodes and applies replies as a faulty peer may send them.
 func FuzzReply(f *testing.F) {
 	var seed bytes.Buffer
 	reply := Reply{Batches: []Batch{snapshotAt(10, instance("a", 5)), {Kind: Configurations, Snapshot: true, At: 3}}, Status: Status{Confirmed: true}}
@@ -356,11 +356,11 @@
 		if gob.NewDecoder(bytes.NewReader(content)).Decode(&decoded) != nil {
 			return
 		}
-		core := NewCore[string](CoreOptions{Node: "g", Zone: "z", Role: replicaset.RoleGateway, ReadAfter: readAfter(replicaset.RoleGateway, false)})
-		core.Begin(begin)
-		output := core.Heard(begin, Upstream{}, decoded)
+		core := NewCore[string](CoreOptions{Node: "g", Zone: "z", Role: replicaset.RoleGateway, ReadDelay: readDelay(replicaset.RoleGateway, false)})
+		core.Start(begin)
+		output := core.HandleReply(begin, Upstream{}, decoded)
 		for _, change := range output.Changes {
-			Handlers{Configuration: func(*route.Table) {}, Instances: func(backend.Changes, bool) {}}.changed(change, false)
+			Handlers{Configuration: func(*route.Table) {}, Instances: func(backend.Changes, bool) {}}.dispatch(change, false)
 		}
 	})
 }
--- a/internal/feed/pacer.go
+++ b/internal/feed/pacer.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// pace bounds the pause between an answer of a watch and the next watch. While answers
-// follow each other the pause doubles from first to most, so that a fleet that starts
-// is read in a few calls by each of its nodes; a lone change is followed at once.
+// pace bounds the pause between the answer of a watch and the next watch. During a burst of
+// answers the pause doubles from initial to limit, so that each process reads the changes of a
+// starting fleet in a few calls. A single change is delivered without delay.
 type pace struct {
-	first, most time.Duration
-	// young is the most in the first moments of a process, when a whole fleet may be
-	// starting around it; zero is the same as most.
-	young time.Duration
+	initial, limit time.Duration
+	// startupLimit replaces limit during startupPeriod, when the whole fleet may be starting;
+	// zero means that limit applies.
+	startupLimit time.Duration
 }
 
 var (
-	// promptPace is for the configuration: few changes, wanted at once.
+	// promptPace is for the configuration and evacuations, which change rarely and are urgent.
 	promptPace = pace{}
-	// instancePace stays well below the two seconds within which a leaving instance
-	// must get nothing new.
-	instancePace = pace{first: 25 * time.Millisecond, most: 600 * time.Millisecond, young: 1200 * time.Millisecond}
-	// memberPace is for the members of the fleet: a gateway that learns late of a
-	// replica's new disk or address refuses turns meanwhile.
-	memberPace = pace{first: 250 * time.Millisecond, most: 250 * time.Millisecond}
+	// instancePace stays well below the two seconds after which a leaving instance must get
+	// no new requests.
+	instancePace = pace{initial: 25 * time.Millisecond, limit: 600 * time.Millisecond, startupLimit: 1200 * time.Millisecond}
+	// memberPace is for members and retirements. Until a gateway knows a replica's new disk or
+	// address it refuses turns.
+	memberPace = pace{initial: 250 * time.Millisecond, limit: 250 * time.Millisecond}
 )
 
-// youth is how long a process counts as young.
-const youth = 8 * time.Second
+// startupPeriod is how long after the first answer startupLimit applies.
+const startupPeriod = 8 * time.Second
 
-// calmFactor times the most is the pause after which changes no longer follow each
-// other.
-const calmFactor = 2
+// quietFactor times the limit is the time without answers after which a burst has ended.
+const quietFactor = 2
 
-// pacer is the pace of one watch.
+// pacer computes the pauses of one watch.
 type pacer struct {
 	pace pace
-	// pause is the last pause, answeredAt when the last answer came.
-	pause      time.Duration
-	answeredAt time.Time
-	// bornAt is when the first answer came.
-	bornAt time.Time
+	// pause is the last pause; lastAnswerAt is the time of the last answer.
+	pause        time.Duration
+	lastAnswerAt time.Time
+	// firstAnswerAt is the time of the first answer.
+	firstAnswerAt time.Time
 }
 
-// next returns the pause after an answer at the given time.
+// next returns the pause after an answer that arrived at the given time.
 func (p *pacer) next(now time.Time) time.Duration {
-	if p.bornAt.IsZero() {
-		p.bornAt = now
+	if p.firstAnswerAt.IsZero() {
+		p.firstAnswerAt = now
 	}
-	most := p.pace.most
-	if p.pace.young > 0 && now.Sub(p.bornAt) < youth {
-		most = p.pace.young
+	limit := p.pace.limit
+	if p.pace.startupLimit > 0 && now.Sub(p.firstAnswerAt) < startupPeriod {
+		limit = p.pace.startupLimit
 	}
-	calm := p.answeredAt.IsZero() || now.Sub(p.answeredAt) > calmFactor*most
-	if calm {
-		p.pause = p.pace.first
+	quiet := p.lastAnswerAt.IsZero() || now.Sub(p.lastAnswerAt) > quietFactor*limit
+	if quiet {
+		p.pause = p.pace.initial
 	} else {
-		p.pause = min(2*p.pause, most)
+		p.pause = min(2*p.pause, limit)
 	}
-	p.answeredAt = now
+	p.lastAnswerAt = now
 	return p.pause
 }
--- a/internal/feed/read.go
+++ b/internal/feed/readloop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// runReading reads the store while that is decided, until the context ends.
+// runReading reads the store while the applied decision says so, until the context ends.
 func (n *Node) runReading(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -14,15 +14,15 @@
 		n.stopRead = stop
 		n.mu.Unlock()
 		if wanted {
-			readStore(reading, n.options.Store, (*storeKnowledge)(n), kindsRead(n.options.Evacuations))
-			n.readingEnded()
+			readStore(reading, n.options.Store, (*nodeSink)(n), kindsToRead(n.options.Evacuations))
+			n.readingStopped()
 		}
 		stop()
 		n.awaitReading(ctx)
 	}
 }
 
-// awaitReading waits until the store is to be read.
+// awaitReading waits until the decision is to read the store.
 func (n *Node) awaitReading(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -38,37 +38,37 @@
 	}
 }
 
-func (n *Node) readingEnded() {
+func (n *Node) readingStopped() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.ReadingEnded()
+	n.core.ReadingStopped()
 }
 
-// storeKnowledge is the Node as readStore fills it.
-type storeKnowledge Node
+// nodeSink implements storeSink for a Node.
+type nodeSink Node
 
-func (k *storeKnowledge) position(kind Kind) Position {
+func (k *nodeSink) position(kind Kind) Position {
 	return (*Node)(k).Positions()[kind]
 }
 
-func (k *storeKnowledge) read(batch Batch) {
-	(*Node)(k).step(func(now time.Time) Output[asker] { return k.core.Read(now, batch) })
+func (k *nodeSink) applyBatch(batch Batch) {
+	(*Node)(k).step(func(now time.Time) Output[pollConnection] { return k.core.HandleStoreBatch(now, batch) })
 }
 
-func (k *storeKnowledge) confirmed(kind Kind) {
+func (k *nodeSink) confirmKind(kind Kind) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.core.StoreConfirmed(time.Now(), kind)
 }
 
-func (k *storeKnowledge) contact(err error) {
-	(*Node)(k).step(func(now time.Time) Output[asker] { return k.core.StoreContact(now, err != nil) })
+func (k *nodeSink) storeStateChanged(err error) {
+	(*Node)(k).step(func(now time.Time) Output[pollConnection] { return k.core.SetStoreLost(now, err != nil) })
 	if k.options.StoreStateChanged != nil {
 		k.options.StoreStateChanged(err)
 	}
 }
 
-func (k *storeKnowledge) callFailed(kind Kind, err error) {
+func (k *nodeSink) callFailed(kind Kind, err error) {
 	if k.options.StoreCallFailed != nil {
 		k.options.StoreCallFailed(kind.String(), err)
 	}
--- a/internal/feed/record.go
+++ b/internal/feed/record.go
@@ -9,31 +9,32 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// Kind is a kind of records.
+// Kind is a kind of record.
 type Kind uint8
 
 // The kinds of records.
 const (
 	// Configurations holds one record, the configuration in force.
 	Configurations Kind = iota
-	// Instances holds the back ends' own entries.
+	// Instances holds the entries that back ends register.
 	Instances
-	// Members holds the product's own objects: cells of replicas and processes.
+	// Members holds the objects that the fleet itself writes: cells of replicas and processes.
 	Members
-	// Retirements holds the operator's requests to empty machines.
+	// Retirements holds the operator's requests to drain machines.
 	Retirements
-	// Evacuations holds the operator's requests to send nothing further to the instances of a
-	// zone. It is read only where the operator makes such requests.
+	// Evacuations holds the operator's requests to send no further work to the instances of a
+	// zone. It is read only in deployments whose operator makes such requests.
 	Evacuations
 	kindCount
 )
 
-// Kinds lists all kinds in the order in which changes are handed over. Evacuations come
-// before instances, so that a process that starts never places work on an evacuated zone.
+// Kinds lists all kinds in the order in which changes are delivered. Evacuations come before
+// instances, so that a starting process never places work on an evacuated zone.
 func Kinds() []Kind { return []Kind{Configurations, Evacuations, Instances, Members, Retirements} }
 
-// kindsRead lists the kinds that are read from the store and waited for.
-func kindsRead(evacuations bool) []Kind {
+// kindsToRead lists the kinds that a process reads from the store and that its data must
+// contain to be complete.
+func kindsToRead(evacuations bool) []Kind {
 	if evacuations {
 		return Kinds()
 	}
@@ -49,8 +50,8 @@
 	return names[k]
 }
 
-// Record is one object of the store in the product's terms. Unless it is deleted, the
-// field of its kind is set and no other.
+// Record is one object of the store, converted to the types of this program. Unless Deleted is
+// set, exactly the field of its kind is set.
 type Record struct {
 	Name string
 	// Revision is the store's revision of the object's last change.
@@ -61,11 +62,11 @@
 	Instance      *backend.Instance
 	Member        []byte
 	Retirement    RetirementState
-	// Evacuated is set on the record of a zone that is to get nothing further.
+	// Evacuated is set on the record of a zone that must get no further work.
 	Evacuated bool
 }
 
-// valid reports whether the field of the kind is set.
+// valid reports whether the record is a deletion or the field of the kind is set.
 func (r Record) valid(kind Kind) bool {
 	if r.Deleted {
 		return true
@@ -86,32 +87,33 @@
 	}
 }
 
-// RetirementState says how far the emptying of a machine is.
+// RetirementState is the progress of draining a machine.
 type RetirementState uint8
 
 // The states of a retirement, in their order.
 const (
 	NotRetiring RetirementState = iota
-	// RetirementRequested means that the operator asked and the machine did not confirm.
+	// RetirementRequested means that the operator requested it and the machine has not
+	// confirmed yet.
 	RetirementRequested
-	// RetirementRunning means that the machine is being emptied.
+	// RetirementRunning means that the machine is draining.
 	RetirementRunning
-	// RetirementCompleted means that it holds nothing that is needed.
+	// RetirementCompleted means that no data on the machine is needed any more.
 	RetirementCompleted
 )
 
-// Configuration is a route.Table in the form in which it is stored and sent.
+// Configuration is the serialized form of a route.Table, as stored and sent.
 type Configuration struct {
 	Version  uint64
 	Routes   []*route.Route
 	Services []route.Service
 	Limits   route.Limits
-	// Tenants and their keys; HasTenants tells none from an operator who names none.
+	// HasTenants distinguishes a configuration without a list of tenants from an empty list.
 	HasTenants bool
 	Tenants    []tenant.Tenant
 }
 
-// ConfigurationOf returns a table in that form.
+// ConfigurationOf returns the serialized form of a table.
 func ConfigurationOf(table *route.Table) *Configuration {
 	configuration := &Configuration{
 		Version: table.Version, Routes: table.Routes(), Limits: table.Limits,
@@ -123,7 +125,7 @@
 	return configuration
 }
 
-// Table returns the configuration as the table that requests are matched with.
+// Table returns the route table of the configuration.
 func (c *Configuration) Table() *route.Table {
 	table := route.NewTable(c.Version, c.Routes, c.Services, c.Limits)
 	if c.HasTenants {
@@ -132,7 +134,7 @@
 	return table
 }
 
-// object returns a member's record in the registry's form.
+// object returns the record of a member as a registry object.
 func (r Record) object() registry.Object {
 	return registry.Object{Name: r.Name, Revision: r.Revision, Value: r.Member}
 }
@@ -140,19 +142,20 @@
 // Batch holds changes of one kind.
 type Batch struct {
 	Kind Kind
-	// Snapshot says that Records are all there are at revision At. Otherwise they are the
-	// changes after revision After up to At, each record at its last change.
+	// Snapshot is set when Records are the complete contents at revision At. Otherwise they
+	// are the changes after revision After up to At, each record at its last change.
 	Snapshot  bool
 	After, At uint64
-	// Exact says that what came and went between After and At may be missing: the batch holds
-	// for a process that is at After, and not for one that has learned more since it asked.
+	// Exact is set when records created and deleted between After and At may be missing. The
+	// batch then applies only to a process whose position is exactly After, and not to one
+	// that received more changes after it sent the poll.
 	Exact   bool
 	Records []Record
 }
 
-// Position says up to which revision a process knows all changes of a kind.
+// Position is the revision up to which a process knows all changes of a kind.
 type Position struct {
-	// Known is false while the kind was never listed.
+	// Known is false until the kind has been listed for the first time.
 	Known bool
 	At    uint64
 }
@@ -160,7 +163,7 @@
 // Positions holds the position of each kind.
 type Positions [kindCount]Position
 
-// Complete reports whether all the given kinds were listed.
+// Complete reports whether all the given kinds are known.
 func (p Positions) Complete(kinds []Kind) bool {
 	for _, kind := range kinds {
 		if !p[kind].Known {
--- a/internal/feed/selector_test.go
+++ b/internal/feed/selector_test.go
@@ -12,39 +12,39 @@
 
 var begin = time.Unix(1000, 0)
 
-// chooser drives a selector over a virtual clock.
-type chooser struct {
+// testSelector drives a Selector with a virtual clock.
+type testSelector struct {
 	*Selector
 	now time.Time
 }
 
-func newChooser(readAfter time.Duration, candidates ...Upstream) *chooser {
-	c := &chooser{now: begin, Selector: NewSelector(SelectorOptions{
-		Zone: "z", ReadAfter: func(int, int) time.Duration { return readAfter },
+func newTestSelector(readAfter time.Duration, candidates ...Upstream) *testSelector {
+	c := &testSelector{now: begin, Selector: NewSelector(SelectorOptions{
+		Zone: "z", ReadDelay: func(int, int) time.Duration { return readAfter },
 	})}
 	c.SetCandidates(c.now, candidates, 10)
 	return c
 }
 
-// pass lets time pass in ticks.
-func (c *chooser) pass(total time.Duration) {
+// advance advances the clock in ticks.
+func (c *testSelector) advance(total time.Duration) {
 	for end := c.now.Add(total); c.now.Before(end); {
 		c.now = c.now.Add(tickInterval)
 		c.Tick(c.now)
 	}
 }
 
-// hear lets time pass while the upstream answers.
-func (c *chooser) hear(total time.Duration, status Status) {
+// advanceReplying advances the clock while the current upstream replies with the status.
+func (c *testSelector) advanceReplying(total time.Duration, status Status) {
 	for end := c.now.Add(total); c.now.Before(end); {
 		c.now = c.now.Add(tickInterval)
 		if follow := c.Decision().Follow; follow != nil {
-			c.Heard(c.now, *follow, status, true)
+			c.HandleReply(c.now, *follow, status, true)
 		}
 	}
 }
 
-func (c *chooser) follows() string {
+func (c *testSelector) follows() string {
 	if follow := c.Decision().Follow; follow != nil {
 		return follow.Node
 	}
@@ -59,130 +59,130 @@
 	far   = Upstream{Node: "far", Address: "3", Zone: "y"}
 )
 
-func TestWithoutUpstreamsTheStoreIsRead(t *testing.T) {
-	c := newChooser(0)
+func TestSelectorReadsStoreWithoutUpstreams(t *testing.T) {
+	c := newTestSelector(0)
 	require.True(t, c.Decision().Reading)
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	require.True(t, c.Decision().Reading)
 }
 
-func TestAProcessWithAFreshUpstreamDoesNotRead(t *testing.T) {
-	c := newChooser(time.Second, near, far)
+func TestSelectorDoesNotReadWithFreshUpstream(t *testing.T) {
+	c := newTestSelector(time.Second, near, far)
 	require.Equal(t, "near", c.follows())
-	c.hear(time.Minute, fresh)
+	c.advanceReplying(time.Minute, fresh)
 	require.Equal(t, Decision{Follow: c.current, Reading: false}, c.Decision())
 	require.Equal(t, "near", c.follows())
 }
 
-func TestAnUpstreamThatFailsIsLeftAtOnce(t *testing.T) {
-	c := newChooser(time.Second, near, near2, far)
-	c.hear(time.Second, fresh)
-	c.Failed(c.now, near)
+func TestSelectorLeavesFailedUpstreamAtOnce(t *testing.T) {
+	c := newTestSelector(time.Second, near, near2, far)
+	c.advanceReplying(time.Second, fresh)
+	c.HandleFailure(c.now, near)
 	require.Equal(t, "near2", c.follows())
-	c.hear(10*time.Second, fresh)
-	require.Equal(t, "near2", c.follows(), "it stays while that is fresh")
+	c.advanceReplying(10*time.Second, fresh)
+	require.Equal(t, "near2", c.follows(), "it stays while the upstream is fresh")
 	require.False(t, c.Decision().Reading)
 }
 
-func TestAnUpstreamThatLostTheStoreIsLeftAtOnce(t *testing.T) {
-	c := newChooser(time.Second, near, near2)
-	c.hear(time.Second, fresh)
-	c.hear(tickInterval, lost)
+func TestSelectorLeavesUpstreamThatLostStore(t *testing.T) {
+	c := newTestSelector(time.Second, near, near2)
+	c.advanceReplying(time.Second, fresh)
+	c.advanceReplying(tickInterval, lost)
 	require.Equal(t, "near2", c.follows())
 }
 
-// What the upstream before said once counted against the next one, which was left with the
-// next tick unless it answered sooner.
-func TestTheNextUpstreamHasATrialOfItsOwn(t *testing.T) {
-	c := newChooser(time.Minute, near, near2, far)
-	c.hear(time.Second, fresh)
-	c.hear(tickInterval, lost)
-	c.pass(trialLimit / 2)
+// The status of the previous upstream must not count against the next one, which would
+// otherwise be left with the next tick unless it replied sooner.
+func TestSelectorGivesNextUpstreamItsOwnTrial(t *testing.T) {
+	c := newTestSelector(time.Minute, near, near2, far)
+	c.advanceReplying(time.Second, fresh)
+	c.advanceReplying(tickInterval, lost)
+	c.advance(trialTimeout / 2)
 	require.Equal(t, "near2", c.follows())
 }
 
-func TestAnUpstreamWhoseKnowledgeIsOldIsLeft(t *testing.T) {
-	c := newChooser(time.Second, near, near2)
-	c.hear(time.Second, fresh)
-	c.hear(tickInterval, Status{Confirmed: true, Age: staleAfter + time.Millisecond})
+func TestSelectorLeavesStaleUpstream(t *testing.T) {
+	c := newTestSelector(time.Second, near, near2)
+	c.advanceReplying(time.Second, fresh)
+	c.advanceReplying(tickInterval, Status{Confirmed: true, Age: staleAfter + time.Millisecond})
 	require.Equal(t, "near2", c.follows())
 }
 
-func TestAnUpstreamThatSaysNothingHasATrial(t *testing.T) {
-	c := newChooser(time.Minute, near, near2)
-	c.pass(trialLimit - 2*tickInterval)
+func TestSelectorLeavesSilentUpstreamAfterTrial(t *testing.T) {
+	c := newTestSelector(time.Minute, near, near2)
+	c.advance(trialTimeout - 2*tickInterval)
 	require.Equal(t, "near", c.follows())
-	c.pass(3 * tickInterval)
+	c.advance(3 * tickInterval)
 	require.Equal(t, "near2", c.follows())
-	// A copy from a disk is not the store's word either.
-	c.hear(trialLimit+tickInterval, Status{})
-	require.Equal(t, "near", c.follows(), "it was passed over for long enough")
+	// An unconfirmed copy from a disk does not count as fresh either.
+	c.advanceReplying(trialTimeout+tickInterval, Status{})
+	require.Equal(t, "near", c.follows(), "its avoidance has ended")
 }
 
-func TestTheStoreIsReadWhenNobodyIsFresh(t *testing.T) {
+func TestSelectorReadsStoreWhenNoUpstreamIsFresh(t *testing.T) {
 	const readAfter = 1500 * time.Millisecond
-	c := newChooser(readAfter, near, near2)
-	c.hear(5*time.Second, fresh)
+	c := newTestSelector(readAfter, near, near2)
+	c.advanceReplying(5*time.Second, fresh)
 	since := c.now
 	for !c.Decision().Reading {
-		c.hear(tickInterval, lost)
+		c.advanceReplying(tickInterval, lost)
 		require.Less(t, c.now.Sub(since), 10*time.Second)
 	}
 	require.InDelta(t, readAfter.Seconds(), c.now.Sub(since).Seconds(), 0.25)
-	c.hear(5*time.Second, lost)
+	c.advanceReplying(5*time.Second, lost)
 	require.True(t, c.Decision().Reading)
-	c.hear(handBack/2, fresh)
-	require.True(t, c.Decision().Reading, "a moment is not enough")
-	c.hear(handBack, fresh)
+	c.advanceReplying(stopReadingAfter/2, fresh)
+	require.True(t, c.Decision().Reading, "one reply is not enough")
+	c.advanceReplying(stopReadingAfter, fresh)
 	require.False(t, c.Decision().Reading)
 }
 
-// A store that is away for all is not asked for by connections without end: the pause
-// before an upstream is tried again doubles.
-func TestWhileNobodyIsFreshFewConnectionsAreMade(t *testing.T) {
-	c := newChooser(time.Second, near, near2, far)
+// While the store is unavailable to all, the time before an upstream is tried again doubles,
+// which bounds the number of connections.
+func TestSelectorBacksOffWhenNoUpstreamIsFresh(t *testing.T) {
+	c := newTestSelector(time.Second, near, near2, far)
 	changes, last := 0, c.follows()
 	for range 600 {
-		c.hear(tickInterval, lost)
+		c.advanceReplying(tickInterval, lost)
 		if c.follows() != last {
 			changes, last = changes+1, c.follows()
 		}
 	}
-	require.LessOrEqual(t, changes, 3*(mostDoublings+1), "in a minute: each pause is twice the one before")
-	c.hear(2*time.Second, fresh)
-	require.NotEmpty(t, c.follows(), "the one that is followed is fresh again")
+	require.LessOrEqual(t, changes, 3*(maxDoublings+1), "in a minute: each avoidance is twice the previous one")
+	c.advanceReplying(2*time.Second, fresh)
+	require.NotEmpty(t, c.follows(), "the current upstream is fresh again")
 }
 
-// Seeds are one upstream with several addresses: left when nothing fresh comes, and tried
-// again, for another one of them may be fresh.
-func TestSeedsAreTriedAgain(t *testing.T) {
-	c := newChooser(time.Minute, Upstream{Address: "1,2"})
-	c.hear(trialLimit-2*tickInterval, Status{})
+// Seeds form one upstream with several addresses. It is left when it sends no fresh data, and
+// tried again, because another seed may be fresh.
+func TestSelectorRetriesSeeds(t *testing.T) {
+	c := newTestSelector(time.Minute, Upstream{Address: "1,2"})
+	c.advanceReplying(trialTimeout-2*tickInterval, Status{})
 	require.NotNil(t, c.Decision().Follow)
-	c.hear(3*tickInterval, Status{})
+	c.advanceReplying(3*tickInterval, Status{})
 	require.Nil(t, c.Decision().Follow)
-	c.pass(2 * tickInterval)
+	c.advance(2 * tickInterval)
 	require.NotNil(t, c.Decision().Follow)
 }
 
-func TestAnUpstreamOfTheOwnZoneIsPreferred(t *testing.T) {
-	c := newChooser(time.Second, far)
-	c.hear(time.Second, fresh)
+func TestSelectorPrefersOwnZone(t *testing.T) {
+	c := newTestSelector(time.Second, far)
+	c.advanceReplying(time.Second, fresh)
 	c.SetCandidates(c.now, []Upstream{near, far}, 10)
-	require.Equal(t, "far", c.follows(), "not at once: the fleet may be starting")
-	c.hear(moveHome, fresh)
+	require.Equal(t, "far", c.follows(), "not at once, because the fleet may be starting")
+	c.advanceReplying(ownZoneReturnDelay, fresh)
 	require.Equal(t, "near", c.follows())
 	require.False(t, c.Decision().Reading)
 }
 
-func TestAnUpstreamThatIsNoCandidateAnyMoreIsLeft(t *testing.T) {
-	c := newChooser(time.Second, near, near2)
-	c.hear(time.Second, fresh)
+func TestSelectorLeavesRemovedCandidate(t *testing.T) {
+	c := newTestSelector(time.Second, near, near2)
+	c.advanceReplying(time.Second, fresh)
 	c.SetCandidates(c.now, []Upstream{near2}, 10)
 	require.Equal(t, "near2", c.follows())
 }
 
-func TestWhoMayBeFollowed(t *testing.T) {
+func TestUpstreamsOfReplicasAndGateways(t *testing.T) {
 	nodes := map[string]replicaset.Node{}
 	for _, name := range []string{"r1", "r2", "r3", "s1", "s2", "t1"} {
 		zone := map[byte]string{'r': "zone-r", 's': "zone-s", 't': "zone-t"}[name[0]]
@@ -206,7 +206,7 @@
 	require.Equal(t, []Upstream{{Address: "seed:1,seed:2"}}, GatewayUpstreams("g", "zone-r", nil, nil, []string{"seed:1", "seed:2"}))
 	require.Empty(t, GatewayUpstreams("g", "zone-r", nil, nil, nil))
 	regions := place.Map{"zone-r": "east", "zone-s": "west", "zone-t": "east"}
-	require.Equal(t, "t1", names(GatewayUpstreams("g", "zone-r", regions, nodes, nil))[2], "the own region before another")
+	require.Equal(t, "t1", names(GatewayUpstreams("g", "zone-r", regions, nodes, nil))[2], "the own region before other regions")
 	// Gateways spread over the replicas of their zone.
 	first := map[string]int{}
 	for i := range 60 {
@@ -216,30 +216,30 @@
 	require.Greater(t, first["r3"], 15)
 }
 
-func TestASlowProcessCostsOnePoll(t *testing.T) {
+func TestPendingPollsHoldOnePollPerFollower(t *testing.T) {
 	cache := NewCache()
 	cache.Apply(snapshotAt(1))
-	poller := NewPoller[string]()
+	poller := NewPendingPolls[string]()
 	var known Positions
 	known[Instances] = Position{Known: true, At: 1}
-	_, answered := poller.Ask(begin, "slow", Request{Positions: known}, cache)
+	_, answered := poller.Add(begin, "slow", Request{Positions: known}, cache)
 	require.False(t, answered)
 	for at := uint64(1); at < 5000; at++ {
 		cache.Apply(changesTo(at, at+1, instance("a", at+1)))
-		if answers := poller.Changed(cache); at > 1 {
-			require.Empty(t, answers, "it has not asked again")
+		if answers := poller.TakeAll(cache); at > 1 {
+			require.Empty(t, answers, "it has not polled again")
 		}
 	}
 	require.Empty(t, poller.waiting)
-	batches, answered := poller.Ask(begin, "slow", Request{Positions: known}, cache)
+	batches, answered := poller.Add(begin, "slow", Request{Positions: known}, cache)
 	require.True(t, answered)
-	require.Equal(t, []Batch{changesTo(1, 5000, instance("a", 5000))}, batches, "what it lacks, each record once")
+	require.Equal(t, []Batch{changesTo(1, 5000, instance("a", 5000))}, batches, "all missing changes, each record once")
 }
 
-func TestAPollIsAnsweredWithoutNews(t *testing.T) {
-	poller := NewPoller[string]()
-	poller.Ask(begin, "a", Request{}, NewCache())
-	require.Empty(t, poller.Due(begin.Add(pollInterval-1)))
-	require.Equal(t, []string{"a"}, poller.Due(begin.Add(pollInterval)))
-	require.Empty(t, poller.Due(begin.Add(2*pollInterval)), "once")
+func TestPendingPollsExpire(t *testing.T) {
+	poller := NewPendingPolls[string]()
+	poller.Add(begin, "a", Request{}, NewCache())
+	require.Empty(t, poller.TakeExpired(begin.Add(pollInterval-1)))
+	require.Equal(t, []string{"a"}, poller.TakeExpired(begin.Add(pollInterval)))
+	require.Empty(t, poller.TakeExpired(begin.Add(2*pollInterval)), "once")
 }
--- a/internal/feed/status.go
+++ b/internal/feed/status.go
@@ -3,41 +3,44 @@
 import "time"
 
 const (
-	// staleAfter is the age at which knowledge counts as stale. A reader confirms its
-	// knowledge each probeInterval, within probeTimeout, and two steps of upstreams add a
-	// pollInterval each: 2.5 s with nothing lost.
+	// staleAfter is the age above which data counts as stale. A reader confirms its data
+	// every probeInterval, within probeTimeout, and each of two hops through upstreams adds
+	// a pollInterval: 2.5 s when no message is lost.
 	staleAfter = 3 * time.Second
-	// incompleteAfterRegain is how long after the loss of the store a list of instances may
-	// lack some that are there. It is short, for the loss may have been of the path to the
-	// store alone, and what leaves then does leave.
-	incompleteAfterRegain = time.Second
+	// incompleteAfterRecovery is how long, after the store is reachable again, a list of
+	// instances may lack instances that are alive. It is short because possibly only the path
+	// from this process to the store failed; instances that leave the list then are really gone.
+	incompleteAfterRecovery = time.Second
 )
 
-// Status says how much a process's knowledge is worth.
+// Status describes how current and complete the data of a process is.
 type Status struct {
-	// Confirmed says that it comes from the store within the lives of the processes on
-	// its way here. Otherwise it is a copy from a disk.
+	// Confirmed is set when the data was read from the store by a process that is still
+	// running and reached this one through running processes. Otherwise it may come from a
+	// copy on disk.
 	Confirmed bool
-	// Lost says that the store does not answer the process that reads it.
+	// Lost is set while the store does not answer the process that reads it.
 	Lost bool
-	// Incomplete says that the store is lost or was until incompleteAfterRegain ago: entries
-	// of instances that could not renew them may be missing.
+	// Incomplete is set while the store is lost and for incompleteAfterRecovery afterwards:
+	// entries of instances that could not renew them may be missing.
 	Incomplete bool
-	// Age is how long ago the store last told, or confirmed, what the process that reads it knows.
+	// Age is the time since the store last sent or confirmed the data of the process that
+	// reads it.
 	Age time.Duration
 }
 
-// Fresh reports whether the knowledge is as good as the store's own word.
+// Fresh reports whether the data is confirmed, the store reachable and the age at most
+// staleAfter, so that it may be used as if read from the store.
 func (s Status) Fresh() bool { return s.Confirmed && !s.Lost && s.Age <= staleAfter }
 
-// after returns the status once some time has passed.
-func (s Status) after(passed time.Duration) Status {
-	s.Age += passed
+// agedBy returns the status with its age increased by the elapsed time.
+func (s Status) agedBy(elapsed time.Duration) Status {
+	s.Age += elapsed
 	return s
 }
 
-// better reports whether the status is worth more than another one.
-func (s Status) better(other Status) bool {
+// betterThan reports whether the status describes more reliable data than another one.
+func (s Status) betterThan(other Status) bool {
 	if s.Confirmed != other.Confirmed {
 		return s.Confirmed
 	}
@@ -47,38 +50,39 @@
 	return s.Age < other.Age
 }
 
-// readerStatus follows what the store answers a process that reads it.
+// readerStatus tracks the status of a process that reads the store itself.
 type readerStatus struct {
-	// kinds are those that are read.
+	// kinds are the kinds that the process reads.
 	kinds []Kind
-	// confirmed holds the kinds that the store has told of, or confirmed, since reading began.
+	// confirmed is set for the kinds that the store has sent or confirmed since reading began.
 	confirmed   [kindCount]bool
 	confirmedAt time.Time
 	lost        bool
-	regainedAt  time.Time
+	recoveredAt time.Time
 }
 
-// confirm notes that what is known of a kind is the store's own word.
+// confirm records that the data of a kind matches the store.
 func (r *readerStatus) confirm(now time.Time, kind Kind) {
 	r.confirmed[kind] = true
 	r.confirmedAt = now
 }
 
-// contact notes that the store was lost or is reached again.
-func (r *readerStatus) contact(now time.Time, lost bool) {
+// setLost records that the store stopped answering or answers again.
+func (r *readerStatus) setLost(now time.Time, lost bool) {
 	if r.lost && !lost {
-		r.regainedAt = now
+		r.recoveredAt = now
 	}
 	r.lost = lost
 }
 
-// status returns the status of what this process read itself.
+// status returns the status of the data that this process read itself. It is zero until every
+// kind is confirmed.
 func (r *readerStatus) status(now time.Time) Status {
 	for _, kind := range r.kinds {
 		if !r.confirmed[kind] {
 			return Status{}
 		}
 	}
-	regained := !r.regainedAt.IsZero() && now.Sub(r.regainedAt) < incompleteAfterRegain
-	return Status{Confirmed: true, Lost: r.lost, Incomplete: r.lost || regained, Age: now.Sub(r.confirmedAt)}
+	recovering := !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < incompleteAfterRecovery
+	return Status{Confirmed: true, Lost: r.lost, Incomplete: r.lost || recovering, Age: now.Sub(r.confirmedAt)}
 }
