--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the configuration that says where a request of a caller
-// goes: routes by host and path prefix, the services behind them, and the limits
-// on callers. A Table is immutable; a change of the configuration is a new Table.
+// Package route holds the routing configuration: routes by host and path prefix, the services
+// behind them, and the limits on callers. A Table is immutable; each change of the
+// configuration creates a new Table.
 package route
 
 import (
@@ -14,16 +14,16 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// Kind says how often a request may run.
+// Kind is the execution semantics of a route's requests.
 type Kind uint8
 
 const (
-	// Safe requests may run more than once.
+	// Safe requests may be executed more than once.
 	Safe Kind = iota + 1
-	// Unsafe requests run at most once for each request id.
+	// Unsafe requests are executed at most once for each request id.
 	Unsafe
-	// Streaming requests are answered by events; they run at most once unless the
-	// route is resumable.
+	// Streaming requests are answered with a stream of events; they are executed at most once
+	// unless the route is resumable.
 	Streaming
 )
 
@@ -41,73 +41,74 @@
 	}
 }
 
-// Target is one part of a split route.
+// Target is one of the services that a route's requests are split over.
 type Target struct {
 	Service string
-	// Weight is the part's share of the requests, relative to the others.
+	// Weight is the target's share of the requests, relative to the other targets.
 	Weight int
 }
 
-// Route says how requests of one host and path prefix are handled.
+// Route configures the handling of requests for one host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time a request is held.
+	// Timeout bounds the total time of a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first event,
-	// has its full value.
+	// Objective is the latency objective for a response, or for the first event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between events that is still in time.
+	// GapObjective is the latency objective for the pause between two events of a stream.
 	GapObjective time.Duration
-	// Attempts is the largest number of instances that may run one request.
+	// Attempts is the maximum number of instances that may execute one request.
 	Attempts int
-	// Priority is the rank of the route's requests; 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// Targets are the services the route's requests are split over.
+	// Targets are the services that the route's requests are split over.
 	Targets []Target
-	// Retained routes keep each turn for Retention, to be continued by later ones.
+	// Retained is set when each turn is stored for the duration Retention, so that later turns
+	// can continue it.
 	Retained  bool
 	Retention time.Duration
-	// Resumable streams may be continued by another instance after an event.
+	// Resumable is set when another instance may continue a stream after an event.
 	Resumable bool
-	// Public routes need no key.
+	// Public is set when requests need no key.
 	Public bool
-	// Homes limits where the route's requests may be run, cached and stored.
+	// Homes restricts the regions in which the route's requests may be run, cached and stored.
 	Homes place.Homes
 }
 
-// Repeatable reports whether a request may run again after an unknown outcome.
+// Repeatable reports whether a request may be executed again after an attempt with unknown
+// outcome.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Service is a set of equal instances.
+// Service is a set of interchangeable instances.
 type Service struct {
 	Name string
-	// ConnectionLimit is how many connections an instance accepts in all.
+	// ConnectionLimit is the total number of connections that one instance accepts.
 	ConnectionLimit int
-	// Generates is true for services of model engines.
+	// Generates is set for services whose instances are model engines.
 	Generates bool
-	// TokensPerEvent is how many tokens one event of a stream stands for.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// CacheTokens is the prompt memory of one engine, in tokens.
+	// CacheTokens is the size of the prompt cache of one engine, in tokens.
 	CacheTokens int
-	// ColdPerSecond is how many requests a second an instance withstands while it is cold,
-	// from all gateways together; 0 is no limit. ColdStart is how long it is cold after a
-	// start.
+	// ColdPerSecond is the number of requests per second, from all gateways together, that an
+	// instance can handle while it is cold; 0 means no limit. ColdStart is how long an instance
+	// is cold after its start.
 	ColdPerSecond float64
 	ColdStart     time.Duration
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests that callers may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime is how long a caller may take to send a request's header.
+	// HeaderTime is how long a caller may take to send the header of a request.
 	HeaderTime time.Duration
-	// IdleTime is how long a kept connection may rest.
+	// IdleTime is how long a keep-alive connection may be idle.
 	IdleTime time.Duration
 }
 
@@ -116,22 +117,22 @@
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
-	// Tenants maps keys to tenants; nil where the configuration names none, and then no
-	// route needs a key.
+	// Tenants maps keys to tenants. It is nil when the configuration has no tenants; no route
+	// needs a key then.
 	Tenants *tenant.Index
-	// byHost holds each host's routes, the longest prefix first.
+	// byHost holds the routes of each host, the longest prefix first.
 	byHost map[string][]*Route
-	// mostUrgent is the least priority of the routes to each service.
-	mostUrgent map[string]int
-	// mostAttempts is the largest number of attempts of the streaming routes to each service.
-	mostAttempts map[string]int
+	// minPriority is the lowest priority value of the routes to each service.
+	minPriority map[string]int
+	// streamAttempts is the maximum Attempts of the streaming routes to each service.
+	streamAttempts map[string]int
 }
 
-// NewTable indexes the routes.
+// NewTable returns a table of the routes and services, without tenants.
 func NewTable(version uint64, routes []*Route, services []Service, limits Limits) *Table {
 	table := &Table{
-		Version: version, Services: map[string]Service{}, Limits: limits, byHost: map[string][]*Route{}, mostUrgent: map[string]int{},
-		mostAttempts: map[string]int{},
+		Version: version, Services: map[string]Service{}, Limits: limits, byHost: map[string][]*Route{}, minPriority: map[string]int{},
+		streamAttempts: map[string]int{},
 	}
 	for _, service := range services {
 		table.Services[service.Name] = service
@@ -139,7 +140,7 @@
 	for _, route := range routes {
 		host := strings.ToLower(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
-		table.noteUrgency(route)
+		table.indexTargets(route)
 	}
 	for _, list := range table.byHost {
 		slices.SortStableFunc(list, func(a, b *Route) int {
@@ -149,38 +150,39 @@
 	return table
 }
 
-func (t *Table) noteUrgency(route *Route) {
+func (t *Table) indexTargets(route *Route) {
 	for _, target := range route.Targets {
-		least, known := t.mostUrgent[target.Service]
-		if !known || route.Priority < least {
-			t.mostUrgent[target.Service] = route.Priority
+		lowest, known := t.minPriority[target.Service]
+		if !known || route.Priority < lowest {
+			t.minPriority[target.Service] = route.Priority
 		}
 		if route.Kind == Streaming {
-			t.mostAttempts[target.Service] = max(t.mostAttempts[target.Service], route.Attempts)
+			t.streamAttempts[target.Service] = max(t.streamAttempts[target.Service], route.Attempts)
 		}
 	}
 }
 
-// RelativePriority returns how much less urgent a route's requests are than the most urgent ones of
-// the same service.
+// RelativePriority returns the priority of a route relative to the most urgent route of the
+// same service; 0 is the most urgent.
 func (t *Table) RelativePriority(route *Route, service string) int {
-	return max(0, route.Priority-t.mostUrgent[service])
+	return max(0, route.Priority-t.minPriority[service])
 }
 
-// StreamAttempts returns how many instances may run one streaming request of the service at most.
-func (t *Table) StreamAttempts(service string) int { return t.mostAttempts[service] }
+// StreamAttempts returns the maximum number of instances that may execute one streaming request
+// of the service.
+func (t *Table) StreamAttempts(service string) int { return t.streamAttempts[service] }
 
-// MaxStreamAttempts returns the largest StreamAttempts of all services.
+// MaxStreamAttempts returns the maximum of StreamAttempts over all services.
 func (t *Table) MaxStreamAttempts() int {
-	most := 0
-	for _, attempts := range t.mostAttempts {
-		most = max(most, attempts)
+	largest := 0
+	for _, attempts := range t.streamAttempts {
+		largest = max(largest, attempts)
 	}
-	return most
+	return largest
 }
 
-// Match returns the route of a request, or nil when there is none. The port of
-// the host is ignored.
+// Match returns the route for a request, or nil if there is none. It ignores the port of the
+// host.
 func (t *Table) Match(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, route := range t.byHost[host] {
@@ -191,7 +193,7 @@
 	return nil
 }
 
-// Routes returns all routes in the order of their hosts.
+// Routes returns all routes, ordered by host and then longest prefix first.
 func (t *Table) Routes() []*Route {
 	var all []*Route
 	for _, host := range slices.Sorted(maps.Keys(t.byHost)) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheLongestPrefixOfTheHostMatches(t *testing.T) {
+func TestTableMatchesLongestPrefix(t *testing.T) {
 	table := NewTable(1, []*Route{
 		{Name: "short", Host: "a.test", Prefix: "/x/"}, {Name: "long", Host: "A.test", Prefix: "/x/y/"}, {Name: "other", Host: "b.test", Prefix: "/"},
 	}, nil, Limits{})
@@ -18,7 +18,7 @@
 	require.Nil(t, table.Match("c.test", "/"))
 }
 
-func TestASplitRouteDealsByWeight(t *testing.T) {
+func TestSplitterFollowsWeights(t *testing.T) {
 	split := &Route{Name: "r", Targets: []Target{{"a", 90}, {"b", 10}, {"none", 0}}}
 	splitter := NewSplitter("g")
 	counts := map[string]int{}
@@ -29,16 +29,16 @@
 	require.Equal(t, "", splitter.Next(&Route{Name: "empty", Targets: []Target{{"a", 0}, {"b", 0}}}))
 }
 
-// Fifty gateways deal six requests each: all of them together must keep the weights.
-func TestManySplittersTogetherKeepTheWeights(t *testing.T) {
+// Fifty gateways send six requests each; all of them together must match the weights.
+func TestManySplittersFollowWeightsTogether(t *testing.T) {
 	split := &Route{Name: "r", Targets: []Target{{"a", 95}, {"b", 5}}}
-	const gateways, each = 50, 6
+	const gateways, requests = 50, 6
 	counts := map[string]int{}
 	for gateway := range gateways {
 		splitter := NewSplitter(fmt.Sprintf("gateway-%d", gateway))
-		for range each {
+		for range requests {
 			counts[splitter.Next(split)]++
 		}
 	}
-	require.InDelta(t, 0.05*gateways*each, counts["b"], 7)
+	require.InDelta(t, 0.05*gateways*requests, counts["b"], 7)
 }
