--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,23 +1,22 @@
-// Package place describes locations: the zones of a deployment, the regions they
-// belong to, how far apart two zones are, and in which regions a request may be handled.
+// Package place describes locations: the zones of a deployment, the regions they belong to,
+// the distance between two zones, and the regions in which a request may be handled.
 //
-// Everything that chooses a machine by its location uses this package: the placement on
-// instances, the choice of replicas, relays between gateways, the feed and the reports of
-// load.
+// All code that selects a machine by location uses this package: placement on instances, the
+// choice of replicas, relays between gateways, the feed and the load reports.
 package place
 
 import "slices"
 
-// Distance says how far apart two zones are. Larger is farther.
+// Distance is how far apart two zones are. A larger value is farther.
 type Distance uint8
 
 // The distances, nearest first.
 const (
-	// SameZone is a fraction of a millisecond; bytes are free.
+	// SameZone means a fraction of a millisecond and no charge for traffic.
 	SameZone Distance = iota
-	// SameRegion is about a millisecond; bytes between zones are charged for.
+	// SameRegion means about a millisecond; traffic between zones is charged.
 	SameRegion
-	// OtherRegion is tens of milliseconds, over a link that all traffic shares.
+	// OtherRegion means tens of milliseconds, over a link that all traffic shares.
 	OtherRegion
 )
 
@@ -33,16 +32,16 @@
 	}
 }
 
-// Map says to which region each zone belongs. It is never changed once it is in use. The
-// nil map, and zones that a map lacks, stand for one single region: a deployment that says
-// nothing of regions has one.
+// Map maps each zone to its region. It must not be changed once it is in use. Zones that are
+// not in the map, or all zones for a nil map, have an unknown region: a deployment that does
+// not configure regions has a single one.
 type Map map[string]string
 
-// Region returns the zone's region, "" if the zone is not listed.
+// Region returns the region of a zone, or "" if the zone is not in the map.
 func (m Map) Region(zone string) string { return m[zone] }
 
-// Distance returns how far apart two zones are. Zones of unknown region count as being in
-// the same region: only a known boundary is one.
+// Distance returns how far apart two zones are. A zone of unknown region counts as being in the
+// same region as any other.
 func (m Map) Distance(a, b string) Distance {
 	if a == b {
 		return SameZone
@@ -54,7 +53,7 @@
 	return OtherRegion
 }
 
-// Regions returns the regions in the order of their names.
+// Regions returns the distinct regions in order of their names.
 func (m Map) Regions() []string {
 	var regions []string
 	for _, region := range m {
@@ -66,15 +65,15 @@
 	return regions
 }
 
-// Homes limits the regions in which a request may be run, cached and stored (data residency).
-// The zero value limits nothing.
+// Homes restricts the regions in which a request may be run, cached and stored (data
+// residency). The zero value allows all regions.
 type Homes struct {
-	// Limited is set where there is a limit; Regions are then all that is allowed.
+	// Limited is set when only Regions are allowed.
 	Limited bool
 	Regions []string
 }
 
-// HomesOf returns a limit to the regions. No regions limit nothing.
+// HomesOf returns a restriction to the given regions, or no restriction if there are none.
 func HomesOf(regions []string) Homes {
 	if len(regions) == 0 {
 		return Homes{}
@@ -82,8 +81,8 @@
 	return Homes{Limited: true, Regions: slices.Clone(regions)}
 }
 
-// Intersect returns the limit under which both hold. It may leave no region at all, and then
-// nothing may handle the request.
+// Intersect returns the restriction that satisfies both. It may allow no region at all; the
+// request cannot be handled then.
 func (h Homes) Intersect(other Homes) Homes {
 	switch {
 	case !h.Limited:
@@ -100,6 +99,6 @@
 	return both
 }
 
-// Allows reports whether a region is within the limit. A region that is not known is not
-// within any.
+// Allows reports whether the restriction allows a region. An unknown region ("") is allowed
+// only without a restriction.
 func (h Homes) Allows(region string) bool { return !h.Limited || slices.Contains(h.Regions, region) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -16,7 +16,7 @@
 	require.Equal(t, []string{"a", "b"}, zones.Regions())
 }
 
-func TestHomesBindTogether(t *testing.T) {
+func TestHomesIntersect(t *testing.T) {
 	anywhere, first, second := Homes{}, HomesOf([]string{"a", "b"}), HomesOf([]string{"b", "c"})
 	require.True(t, anywhere.Allows("z"))
 	require.False(t, HomesOf(nil).Limited)
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,6 @@
-// Package tenant says which organisation a caller belongs to: by the key that it shows, as
-// the configuration in force maps keys to tenants. Keys are kept as digests only, so none
-// can reach a log line, a metric, a copy on a disk or another process.
+// Package tenant identifies the organisation that a caller belongs to by its API key, using the
+// mapping of keys to tenants in the current configuration. Keys are stored only as digests, so
+// that none can reach a log line, a metric, a copy on disk or another process.
 package tenant
 
 import (
@@ -17,45 +17,46 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// fingerprintBytes is how much of a digest is shown: enough to tell the keys of a fleet
-// apart (10,000 keys collide with a chance of 1 in 100), too little to find a key by.
+// fingerprintBytes is the length of the prefix of a digest that logs show: enough to
+// distinguish the keys of a fleet (10,000 keys have a collision probability of 1 in 100), too
+// short to recover a key.
 const fingerprintBytes = 4
 
-// Fingerprint returns the part of the digest that logs show.
+// Fingerprint returns the prefix of the digest that logs show, in hexadecimal.
 func (d KeyDigest) Fingerprint() string { return hex.EncodeToString(d[:fingerprintBytes]) }
 
-// Limit is what a tenant's requests may reach over the whole fleet.
+// Limit is the rate limit of a tenant over the whole fleet.
 type Limit struct {
-	// PerSecond is the lasting rate in requests a second; zero means no limit.
+	// PerSecond is the sustained rate in requests per second; zero means no limit.
 	PerSecond float64
-	// Burst is how many requests may come on top of that.
+	// Burst is the number of requests allowed in excess of the rate.
 	Burst float64
 }
 
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Tenant is an organisation whose callers share keys and a limit.
+// Tenant is an organisation whose callers share keys and a rate limit.
 type Tenant struct {
 	Name string
 	Keys []KeyDigest
-	// Priority is the tenant's rank; 0 is the most urgent.
+	// Priority is the tenant's priority; 0 is the most urgent.
 	Priority int
 	Limit    Limit
-	// Homes limits where the tenant's requests may be run, cached and stored.
+	// Homes restricts the regions in which the tenant's requests may be run, cached and stored.
 	Homes place.Homes
 }
 
-// Index finds tenants by key and by name. It is immutable; nil stands for a configuration
-// that does not name tenants.
+// Index looks up tenants by key and by name. It is immutable. A nil Index stands for a
+// configuration without tenants.
 type Index struct {
 	tenants []Tenant
 	byKey   map[KeyDigest]*Tenant
 	byName  map[string]*Tenant
 }
 
-// NewIndex returns the index of the tenants. Of two tenants with the same key the first one
-// holds it.
+// NewIndex returns the index of the tenants. A key that several tenants list belongs to the
+// first one.
 func NewIndex(tenants []Tenant) *Index {
 	index := &Index{tenants: tenants, byKey: map[KeyDigest]*Tenant{}, byName: make(map[string]*Tenant, len(tenants))}
 	for i := range tenants {
@@ -78,7 +79,7 @@
 	return i.tenants
 }
 
-// ByKey returns the tenant that holds the key, or nil.
+// ByKey returns the tenant with the key, or nil.
 func (i *Index) ByKey(key KeyDigest) *Tenant {
 	if i == nil {
 		return nil
@@ -86,7 +87,7 @@
 	return i.byKey[key]
 }
 
-// ByName returns the tenant of that name, or nil.
+// ByName returns the tenant with the name, or nil.
 func (i *Index) ByName(name string) *Tenant {
 	if i == nil {
 		return nil
@@ -97,8 +98,8 @@
 // bearerScheme is the authentication scheme of RFC 6750.
 const bearerScheme = "Bearer"
 
-// BearerKey returns the key of an Authorization header's values; ok is false unless there
-// is exactly one value with a key of that scheme.
+// BearerKey returns the key from the values of the Authorization header. ok is false unless
+// there is exactly one value and it holds a non-empty key of the Bearer scheme.
 func BearerKey(values []string) (key string, ok bool) {
 	if len(values) != 1 {
 		return "", false
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -7,21 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-func TestAnIndexFindsTheHolderOfAKey(t *testing.T) {
+func TestIndexFindsTenantByKey(t *testing.T) {
 	index := NewIndex([]Tenant{
 		{Name: "a", Keys: []KeyDigest{DigestOf("one"), DigestOf("two")}},
 		{Name: "b", Keys: []KeyDigest{DigestOf("two"), DigestOf("three")}},
 		{Name: "without keys"},
 	})
 	require.Equal(t, "a", index.ByKey(DigestOf("one")).Name)
-	require.Equal(t, "a", index.ByKey(DigestOf("two")).Name, "the first holds a key that stands twice")
+	require.Equal(t, "a", index.ByKey(DigestOf("two")).Name, "a key listed twice belongs to the first tenant")
 	require.Equal(t, "b", index.ByKey(DigestOf("three")).Name)
 	require.Nil(t, index.ByKey(DigestOf("four")))
 	require.NotNil(t, index.ByName("without keys"))
 	require.Nil(t, (*Index)(nil).ByKey(DigestOf("one")))
 }
 
-func TestOnlyOneBearerKeyIsTaken(t *testing.T) {
+func TestBearerKeyAcceptsExactlyOneKey(t *testing.T) {
 	for _, values := range [][]string{nil, {""}, {"Bearer"}, {"Bearer  "}, {"Basic abc"}, {"abc"}, {"Bearer a", "Bearer b"}} {
 		_, ok := BearerKey(values)
 		require.False(t, ok, "%q", values)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAFingerprintDoesNotShowTheKey(t *testing.T) {
+func TestFingerprintDoesNotRevealKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.StringMatching(`[a-z0-9]{8,30}`).Draw(t, "key")
 		require.Len(t, DigestOf(key).Fingerprint(), 2*fingerprintBytes)
@@ -46,7 +46,7 @@
 	f.Add("")
 	f.Fuzz(func(t *testing.T, value string) {
 		if key, ok := BearerKey([]string{value}); ok && key == "" {
-			t.Fatal("an empty key was taken")
+			t.Fatal("accepted an empty key")
 		}
 	})
 }
