--- a/internal/settings/loadcontrol.go
+++ b/internal/settings/loadcontrol.go
@@ -1,31 +1,33 @@
 package settings
 
-// LoadControl holds a gateway's settings of load control. It decides about the services of
-// deployments whose guarantees ask for it, and of those whose streams may be run by several
-// instances; each part can be switched off alone.
+// LoadControl holds the load control settings of a gateway. Load control applies to services in
+// deployments whose guarantees require it, and to services whose streams several instances may
+// execute. Each part can be disabled separately.
 type LoadControl struct {
-	// Guarantees names what the operator's agreement with the callers holds.
+	// Guarantees names the guarantees in the operator's agreement with the callers.
 	Guarantees []string `koanf:"guarantees"`
-	// ReportsAge says that placement counts other gateways' reports of load less the older
-	// they are.
+	// ReportsAge enables placement to give other gateways' load reports less weight as they
+	// age.
 	ReportsAge bool `koanf:"reportsAge"`
-	// HeldShare is the share of the memory that may be held for callers; 0 does not bound it.
+	// HeldShare is the fraction of the memory that may be buffered for callers; 0 means no
+	// limit.
 	HeldShare float64 `koanf:"heldShare" validate:"gte=0,lte=0.5"`
-	// InstanceSpeeds says that requests go where they are expected to end soonest, by the speeds of
-	// single instances.
+	// InstanceSpeeds enables routing of requests to the instance that is expected to finish
+	// them first, based on the speed of each instance.
 	InstanceSpeeds bool `koanf:"instanceSpeeds"`
-	// ProgramAdmission says that new programs are admitted by what programs under way will
-	// need.
+	// ProgramAdmission enables the admission of new programs based on the expected demand of
+	// running programs.
 	ProgramAdmission bool `koanf:"programAdmission"`
-	// LimitSetAside sets credit of tenants' limits aside for programs that have begun, where the
-	// guarantees ask for load control.
+	// LimitSetAside reserves part of the tenants' limits for programs that have begun, where
+	// the guarantees require load control.
 	LimitSetAside bool `koanf:"limitSetAside"`
-	// FairShares puts new programs of tenants above their fair share behind others while room is
-	// short.
+	// FairShares queues new programs of tenants that exceed their fair share behind others
+	// while capacity is scarce.
 	FairShares bool `koanf:"fairShares"`
 }
 
-// defaultHeldShare leaves the rest of a gateway's memory to the process itself.
+// defaultHeldShare is the default of HeldShare. The rest of a gateway's memory remains for the
+// process itself.
 const defaultHeldShare = 0.25
 
 func defaultLoadControl() LoadControl {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a node's settings file and checks it. Flags go over
-// the file; unknown keys and bad values are errors that say what to write instead.
+// Package settings reads and validates the settings file of a node. Flags override the file.
+// Errors about unknown keys and invalid values say how to correct them.
 package settings
 
 import (
@@ -22,11 +22,11 @@
 // Node holds the settings of one node. docs/OPERATIONS.md explains each key.
 type Node struct {
 	ID string `koanf:"id" validate:"required"`
-	// CallerAddress is where callers reach the node over HTTP.
+	// CallerAddress is the address on which the node serves callers over HTTP.
 	CallerAddress string `koanf:"callerAddress" validate:"required,hostname_port"`
 	// OperatorAddress serves metrics, health and status.
 	OperatorAddress string `koanf:"operatorAddress" validate:"required,hostname_port"`
-	// PlatformAddress is the platform's object API and machine list.
+	// PlatformAddress is the URL of the platform's object API and machine list.
 	PlatformAddress string `koanf:"platformAddress" validate:"required,url"`
 	// Nodes lists all nodes of the region, this one included.
 	Nodes         []topology.Node `koanf:"nodes" validate:"required,min=1,dive"`
@@ -40,16 +40,16 @@
 type Limits struct {
 	BodyBytes   int64 `koanf:"bodyBytes" validate:"gt=0"`
 	HeaderBytes int   `koanf:"headerBytes" validate:"gt=0"`
-	// OpenCalls bounds the calls and streams open at once.
+	// OpenCalls bounds the number of concurrent calls and streams.
 	OpenCalls int `koanf:"openCalls" validate:"gt=0"`
-	// HeaderTime, ReadTime and WriteTime bound how long a caller may take to send
-	// headers and body, and to accept each piece of an answer.
+	// HeaderTime and ReadTime bound how long a caller may take to send the headers and the
+	// body, and WriteTime how long it may take to accept each part of a response.
 	HeaderTime time.Duration `koanf:"headerTime" validate:"gt=0"`
 	ReadTime   time.Duration `koanf:"readTime" validate:"gt=0"`
 	WriteTime  time.Duration `koanf:"writeTime" validate:"gt=0"`
 }
 
-// Timeouts bound calls to back ends and the planned stop.
+// Timeouts bound the calls to back ends and, with Drain, a planned shutdown.
 type Timeouts struct {
 	Engine      time.Duration `koanf:"engine" validate:"gt=0"`
 	Application time.Duration `koanf:"application" validate:"gt=0"`
@@ -57,7 +57,7 @@
 	Drain       time.Duration `koanf:"drain" validate:"gt=0"`
 }
 
-// Default returns the settings in force where the file says nothing.
+// Default returns the default settings of a node.
 func Default() Node {
 	return Node{
 		ShardsPerCell: 16,
@@ -72,58 +72,59 @@
 	}
 }
 
-// Load reads the file and puts the overrides, given as "key=value", over it.
+// Load reads the settings file at path and applies overrides of the form "key=value".
 func Load(path string, overrides []string) (Node, error) {
 	return loadFile(path, overrides, Default())
 }
 
-// checked are settings that can be wrong.
-type checked interface{ Check() error }
+// checker is a settings type that can validate itself.
+type checker interface{ Check() error }
 
-// loadFile reads a file of settings over their defaults.
-func loadFile[T checked](path string, overrides []string, settings T) (T, error) {
-	var none T
+// loadFile reads a settings file into a copy of the given defaults, applies the overrides and
+// validates the result.
+func loadFile[T checker](path string, overrides []string, settings T) (T, error) {
+	var zero T
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return none, fmt.Errorf("settings: %w", err)
+		return zero, fmt.Errorf("settings: %w", err)
 	}
 	var values map[string]any
 	if err := yaml.Unmarshal(content, &values); err != nil {
-		return none, fmt.Errorf("settings: %s: %w", path, err)
+		return zero, fmt.Errorf("settings: %s: %w", path, err)
 	}
 	tree := koanf.New(".")
 	if err := tree.Load(confmap.Provider(values, "."), nil); err != nil {
-		return none, fmt.Errorf("settings: %s: %w", path, err)
+		return zero, fmt.Errorf("settings: %s: %w", path, err)
 	}
 	for _, override := range overrides {
 		key, value, found := strings.Cut(override, "=")
 		if !found {
-			return none, fmt.Errorf("settings: --set %q: write it as key=value", override)
+			return zero, fmt.Errorf("settings: --set %q: write it as key=value", override)
 		}
 		if err := tree.Set(key, value); err != nil {
-			return none, fmt.Errorf("settings: --set %q: %w", override, err)
+			return zero, fmt.Errorf("settings: --set %q: %w", override, err)
 		}
 	}
 	return decode(path, tree, settings)
 }
 
-func decode[T checked](path string, tree *koanf.Koanf, settings T) (T, error) {
-	var none T
+func decode[T checker](path string, tree *koanf.Koanf, settings T) (T, error) {
+	var zero T
 	known := knownKeys(reflect.TypeFor[T](), "")
 	if unknown := unknownKeys(tree, known); len(unknown) > 0 {
-		return none, fmt.Errorf("settings: %s: unknown key %s; known keys are %s",
+		return zero, fmt.Errorf("settings: %s: unknown key %s; known keys are %s",
 			path, strings.Join(unknown, ", "), strings.Join(known, ", "))
 	}
 	if err := tree.Unmarshal("", &settings); err != nil {
-		return none, fmt.Errorf("settings: %s: %w", path, err)
+		return zero, fmt.Errorf("settings: %s: %w", path, err)
 	}
 	if err := settings.Check(); err != nil {
-		return none, fmt.Errorf("settings: %s: %w", path, err)
+		return zero, fmt.Errorf("settings: %s: %w", path, err)
 	}
 	return settings, nil
 }
 
-// Check reports the first thing that is wrong with the settings.
+// Check returns an error that describes the first invalid setting.
 func (n Node) Check() error {
 	if err := checkFields(n); err != nil {
 		return err
@@ -134,26 +135,26 @@
 	return nil
 }
 
-// checkFields reports the first field that breaks its validation tag.
+// checkFields returns an error for the first field that violates its validation tag.
 func checkFields(settings any) error {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	check.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("koanf") })
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("koanf") })
 	var failures validator.ValidationErrors
-	if errors.As(check.Struct(settings), &failures) {
-		return explain(failures[0])
+	if errors.As(validate.Struct(settings), &failures) {
+		return fieldError(failures[0])
 	}
 	return nil
 }
 
-func explain(failure validator.FieldError) error {
+func fieldError(failure validator.FieldError) error {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
 	switch failure.Tag() {
 	case "required":
 		return fmt.Errorf("%s: is missing", key)
 	case "hostname_port":
-		return fmt.Errorf("%s: %q is no address; write host:port, for example 127.0.0.1:7101", key, failure.Value())
+		return fmt.Errorf("%s: %q is not an address; write host:port, for example 127.0.0.1:7101", key, failure.Value())
 	case "url":
-		return fmt.Errorf("%s: %q is no URL; write for example http://127.0.0.1:7000", key, failure.Value())
+		return fmt.Errorf("%s: %q is not a URL; write for example http://127.0.0.1:7000", key, failure.Value())
 	case "oneof":
 		return fmt.Errorf("%s: %q must be one of %s", key, failure.Value(), failure.Param())
 	default:
@@ -164,18 +165,18 @@
 func unknownKeys(tree *koanf.Koanf, known []string) []string {
 	var unknown []string
 	for _, key := range tree.Keys() {
-		if !slices.ContainsFunc(known, func(name string) bool { return isKey(name, key) }) {
+		if !slices.ContainsFunc(known, func(name string) bool { return matchesKey(name, key) }) {
 			unknown = append(unknown, key)
 		}
 	}
 	return unknown
 }
 
-// mapKey stands for any key of a map in the known keys.
+// mapKey stands for an arbitrary key of a map in the list of known keys.
 const mapKey = "*"
 
-// isKey reports whether a key of a file is the known one, or one within a known map.
-func isKey(known, key string) bool {
+// matchesKey reports whether a key of a file equals the known key or lies within a known map.
+func matchesKey(known, key string) bool {
 	parent, isMap := strings.CutSuffix(known, mapKey)
 	if !isMap {
 		return known == key
@@ -183,7 +184,7 @@
 	return strings.HasPrefix(key, parent) || key+"." == parent
 }
 
-// knownKeys lists the keys of a struct with their path.
+// knownKeys returns the full paths of the keys of a struct.
 func knownKeys(structure reflect.Type, prefix string) []string {
 	var keys []string
 	for i := range structure.NumField() {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `id: a
+const validSettings = `id: a
 callerAddress: 127.0.0.1:7101
 operatorAddress: 127.0.0.1:7201
 platformAddress: http://127.0.0.1:7000
@@ -24,8 +24,8 @@
 	return Load(path, overrides)
 }
 
-func TestFlagsGoOverTheFileAndDefaultsUnderIt(t *testing.T) {
-	node, err := load(t, good+"limits: {bodyBytes: 77}\n", "timeouts.tool=3s", "logLevel=debug")
+func TestFlagsOverrideFileAndFileOverridesDefaults(t *testing.T) {
+	node, err := load(t, validSettings+"limits: {bodyBytes: 77}\n", "timeouts.tool=3s", "logLevel=debug")
 	require.NoError(t, err)
 	require.Equal(t, int64(77), node.Limits.BodyBytes)
 	require.Equal(t, 3*time.Second, node.Timeouts.Tool)
@@ -33,22 +33,22 @@
 	require.Equal(t, Default().Limits.OpenCalls, node.Limits.OpenCalls)
 }
 
-func TestFaultySettingsSayWhatToWrite(t *testing.T) {
+func TestInvalidSettingsErrorsSayHowToCorrect(t *testing.T) {
 	cases := map[string]string{
-		good + "colour: red\n":                                          "unknown key colour; known keys are id, callerAddress",
-		strings.Replace(good, "127.0.0.1:7101", "here", 1):              "callerAddress: \"here\" is no address; write host:port",
-		strings.Replace(good, "id: a\n", "id: b\n", 1):                  "not in the list of nodes",
-		strings.Replace(good, "http://127.0.0.1:7000", "somewhere", 1):  "platformAddress",
-		good + "logLevel: loud\n":                                       "must be one of debug info warn error",
-		good + "timeouts: {drain: 0s}\n":                                "timeouts.drain",
-		strings.Replace(good, "operatorAddress: 127.0.0.1:7201", "", 1): "operatorAddress: is missing",
+		validSettings + "colour: red\n":                                          "unknown key colour; known keys are id, callerAddress",
+		strings.Replace(validSettings, "127.0.0.1:7101", "here", 1):              "callerAddress: \"here\" is not an address; write host:port",
+		strings.Replace(validSettings, "id: a\n", "id: b\n", 1):                  "not in the list of nodes",
+		strings.Replace(validSettings, "http://127.0.0.1:7000", "somewhere", 1):  "platformAddress",
+		validSettings + "logLevel: loud\n":                                       "must be one of debug info warn error",
+		validSettings + "timeouts: {drain: 0s}\n":                                "timeouts.drain",
+		strings.Replace(validSettings, "operatorAddress: 127.0.0.1:7201", "", 1): "operatorAddress: is missing",
 		"id: [": "yaml",
 	}
 	for content, wanted := range cases {
 		_, err := load(t, content)
 		require.ErrorContains(t, err, wanted)
 	}
-	_, err := load(t, good, "logLevel")
+	_, err := load(t, validSettings, "logLevel")
 	require.ErrorContains(t, err, "key=value")
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestCellsAreBoundToRegionsUnlessOneMayBeLost(t *testing.T) {
+func TestCellPlacesDependOnTolerateRegions(t *testing.T) {
 	member := Member{Zones: map[string]string{"a": "east", "b": "west"}}
 	require.Equal(t, member.Places(), member.CellPlaces())
 	member.TolerateRegions = 1
