--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -97,102 +97,102 @@
 			return Invalid, Difference{}
 		}
 	}
-	held := &c.kinds[batch.Kind]
+	current := &c.kinds[batch.Kind]
 	switch {
-	case held.position.Known && batch.At <= held.position.At:
+	case current.position.Known && batch.At <= current.position.At:
 		return Outdated, Difference{}
 	case batch.Snapshot:
-		return Applied, held.replace(batch)
-	case !held.position.Known || batch.After > held.position.At || batch.Exact && batch.After != held.position.At:
+		return Applied, current.replace(batch)
+	case !current.position.Known || batch.After > current.position.At || batch.Exact && batch.After != current.position.At:
 		return Gap, Difference{}
 	}
 	var changed Difference
 	for _, record := range batch.Records {
-		held.put(record, batch.At, &changed)
+		current.put(record, batch.At, &changed)
 	}
 	if batch.Exact { // changes missing from this batch are also missing for followers of this process
-		held.addUnseenSpan(span{batch.After, batch.At})
+		current.addUnseenSpan(span{batch.After, batch.At})
 	}
-	held.position.At = batch.At
-	held.trim()
+	current.position.At = batch.At
+	current.trim()
 	return Applied, changed
 }
 
 // replace replaces all records by a snapshot. A record that the snapshot lacks was deleted.
-func (h *collection) replace(batch Batch) (changed Difference) {
+func (c *collection) replace(batch Batch) (changed Difference) {
 	listed := make(map[string]bool, len(batch.Records))
 	for _, record := range batch.Records {
 		listed[record.Name] = true
-		h.put(record, batch.At, &changed)
+		c.put(record, batch.At, &changed)
 	}
-	for name, held := range h.records {
+	for name, existing := range c.records {
 		// A record newer than the snapshot came with a later page of another list and stays.
-		if !listed[name] && held.record.Revision <= batch.At {
-			h.put(Record{Name: name, Revision: held.record.Revision, Deleted: true}, batch.At, &changed)
+		if !listed[name] && existing.record.Revision <= batch.At {
+			c.put(Record{Name: name, Revision: existing.record.Revision, Deleted: true}, batch.At, &changed)
 		}
 	}
-	if h.position.Known {
-		h.addUnseenSpan(span{h.position.At, batch.At})
+	if c.position.Known {
+		c.addUnseenSpan(span{c.position.At, batch.At})
 	} else {
-		h.base = batch.At
+		c.base = batch.At
 		changed.First = true
 	}
-	h.position = Position{Known: true, At: batch.At}
-	h.trim()
+	c.position = Position{Known: true, At: batch.At}
+	c.trim()
 	return changed
 }
 
 // addUnseenSpan records a span whose individual changes are unknown, and raises base past the
 // oldest span when there are more than maxUnseenSpans.
-func (h *collection) addUnseenSpan(unseen span) {
-	h.unseen = append(h.unseen, unseen)
-	if len(h.unseen) > maxUnseenSpans {
-		h.base = max(h.base, h.unseen[0].before)
-		h.unseen = h.unseen[1:]
+func (c *collection) addUnseenSpan(unseen span) {
+	c.unseen = append(c.unseen, unseen)
+	if len(c.unseen) > maxUnseenSpans {
+		c.base = max(c.base, c.unseen[0].before)
+		c.unseen = c.unseen[1:]
 	}
 }
 
 // coversChangesAfter reports whether all individual changes after a position are available.
-func (h *collection) coversChangesAfter(position uint64) bool {
+func (c *collection) coversChangesAfter(position uint64) bool {
 	isWithin := func(s span) bool { return s.after < position && position < s.before }
-	return position >= h.base && !slices.ContainsFunc(h.unseen, isWithin)
+	return position >= c.base && !slices.ContainsFunc(c.unseen, isWithin)
 }
 
 // hasUnseenAfter reports whether some individual changes after a position are unknown.
-func (h *collection) hasUnseenAfter(position uint64) bool {
-	return slices.ContainsFunc(h.unseen, func(s span) bool { return s.before > position })
+func (c *collection) hasUnseenAfter(position uint64) bool {
+	return slices.ContainsFunc(c.unseen, func(s span) bool { return s.before > position })
 }
 
 // put applies one record unless the collection holds a newer one, and adds it to changed. A
 // deletion may carry the revision of the object's last change or a revision of its own.
-func (h *collection) put(record Record, at uint64, changed *Difference) {
-	held, exists := h.records[record.Name]
-	if exists && held.record.Revision > record.Revision {
+func (c *collection) put(record Record, at uint64, changed *Difference) {
+	existing, exists := c.records[record.Name]
+	if exists && existing.record.Revision > record.Revision {
 		return
 	}
 	switch {
 	case record.Deleted && !exists:
 		return
 	case record.Deleted:
-		delete(h.records, record.Name)
-		h.tombstones[record.Name] = entry{record: record, learnedAt: at}
-	case exists && held.record.Revision == record.Revision:
+		delete(c.records, record.Name)
+		c.tombstones[record.Name] = entry{record: record, learnedAt: at}
+	case exists && existing.record.Revision == record.Revision:
 		return
 	default:
-		delete(h.tombstones, record.Name)
-		h.records[record.Name] = entry{record: record, learnedAt: at}
+		delete(c.tombstones, record.Name)
+		c.records[record.Name] = entry{record: record, learnedAt: at}
 	}
 	changed.Records = append(changed.Records, record)
 }
 
 // trim drops the oldest half of the tombstones when there are more than maxTombstones.
-func (h *collection) trim() {
-	if len(h.tombstones) <= maxTombstones {
+func (c *collection) trim() {
+	if len(c.tombstones) <= maxTombstones {
 		return
 	}
-	oldest := slices.SortedFunc(maps.Values(h.tombstones), func(a, b entry) int { return cmp.Compare(a.learnedAt, b.learnedAt) })
-	h.base = oldest[len(oldest)/2].learnedAt
-	maps.DeleteFunc(h.tombstones, func(_ string, tombstone entry) bool { return tombstone.learnedAt <= h.base })
+	oldest := slices.SortedFunc(maps.Values(c.tombstones), func(a, b entry) int { return cmp.Compare(a.learnedAt, b.learnedAt) })
+	c.base = oldest[len(oldest)/2].learnedAt
+	maps.DeleteFunc(c.tombstones, func(_ string, tombstone entry) bool { return tombstone.learnedAt <= c.base })
 }
 
 // Since returns the changes that a process at the given positions lacks, one batch for each
@@ -200,41 +200,41 @@
 func (c *Cache) Since(known Positions) []Batch {
 	var batches []Batch
 	for _, kind := range Kinds() {
-		held := &c.kinds[kind]
+		current := &c.kinds[kind]
 		position := known[kind]
 		switch {
-		case !held.position.Known || position.Known && position.At >= held.position.At:
-		case !position.Known || !held.coversChangesAfter(position.At):
-			batches = append(batches, held.snapshot(kind))
+		case !current.position.Known || position.Known && position.At >= current.position.At:
+		case !position.Known || !current.coversChangesAfter(position.At):
+			batches = append(batches, current.snapshot(kind))
 		default:
-			batches = append(batches, held.changesAfter(kind, position.At))
+			batches = append(batches, current.changesAfter(kind, position.At))
 		}
 	}
 	return batches
 }
 
-func (h *collection) snapshot(kind Kind) Batch {
-	batch := Batch{Kind: kind, Snapshot: true, At: h.position.At}
-	for _, name := range slices.Sorted(maps.Keys(h.records)) {
-		batch.Records = append(batch.Records, h.records[name].record)
+func (c *collection) snapshot(kind Kind) Batch {
+	batch := Batch{Kind: kind, Snapshot: true, At: c.position.At}
+	for _, name := range slices.Sorted(maps.Keys(c.records)) {
+		batch.Records = append(batch.Records, c.records[name].record)
 	}
 	return batch
 }
 
 // changesAfter returns the changes after a position, deletions first, so that an object that
 // was deleted and created again ends up as a record.
-func (h *collection) changesAfter(kind Kind, after uint64) Batch {
-	batch := Batch{Kind: kind, After: after, At: h.position.At, Exact: h.hasUnseenAfter(after)}
-	for _, held := range []map[string]entry{h.tombstones, h.records} {
+func (c *collection) changesAfter(kind Kind, after uint64) Batch {
+	batch := Batch{Kind: kind, After: after, At: c.position.At, Exact: c.hasUnseenAfter(after)}
+	for _, entries := range []map[string]entry{c.tombstones, c.records} {
 		var changed []string
-		for name, stored := range held {
+		for name, stored := range entries {
 			if stored.learnedAt > after {
 				changed = append(changed, name)
 			}
 		}
 		slices.Sort(changed)
 		for _, name := range changed {
-			batch.Records = append(batch.Records, held[name].record)
+			batch.Records = append(batch.Records, entries[name].record)
 		}
 	}
 	return batch
@@ -246,9 +246,9 @@
 // Records returns the records of a kind in no particular order. There may be thousands, so
 // callers that need an order sort them.
 func (c *Cache) Records(kind Kind) []Record {
-	held := c.kinds[kind].records
-	records := make([]Record, 0, len(held))
-	for _, stored := range held {
+	entries := c.kinds[kind].records
+	records := make([]Record, 0, len(entries))
+	for _, stored := range entries {
 		records = append(records, stored.record)
 	}
 	return records
@@ -256,6 +256,6 @@
 
 // Record returns the record of that name and whether it exists.
 func (c *Cache) Record(kind Kind, name string) (Record, bool) {
-	held, exists := c.kinds[kind].records[name]
-	return held.record, exists
+	stored, exists := c.kinds[kind].records[name]
+	return stored.record, exists
 }
