--- a/internal/feed/fleet_test.go
+++ b/internal/feed/fleet_test.go
@@ -178,11 +178,11 @@
 // schedule schedules an event for the current incarnation of a process. A frozen process handles
 // it when it wakes up.
 func (f *virtualFleet) schedule(p *virtualProcess, delay time.Duration, do func()) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	f.scheduled++
 	heap.Push(&f.events, virtualEvent{at: f.now.Add(delay), number: f.scheduled, do: func() {
 		switch {
-		case !p.alive || p.incarnation != life:
+		case !p.alive || p.incarnation != incarnation:
 		case f.now.Before(p.frozenUntil):
 			f.schedule(p, p.frozenUntil.Sub(f.now), do)
 		default:
@@ -228,12 +228,12 @@
 	p.positions = positions
 }
 
-func (f *virtualFleet) tick(p *virtualProcess, life int) {
-	if p.incarnation != life {
+func (f *virtualFleet) tick(p *virtualProcess, incarnation int) {
+	if p.incarnation != incarnation {
 		return
 	}
 	f.step(p, func() Output[string] { return p.core.Tick(f.now) })
-	f.schedule(p, tickInterval, func() { f.tick(p, life) })
+	f.schedule(p, tickInterval, func() { f.tick(p, incarnation) })
 }
 
 // step passes an event to a core and carries out its output.
--- a/internal/feed/informer_test.go
+++ b/internal/feed/informer_test.go
@@ -48,28 +48,28 @@
 	count [kindCount]int
 }
 
-func (r *positionSink) reads(kind Kind) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.count[kind]
+func (s *positionSink) reads(kind Kind) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.count[kind]
 }
 
-func (r *positionSink) position(kind Kind) Position {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.at[kind]
+func (s *positionSink) position(kind Kind) Position {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.at[kind]
 }
 
-func (r *positionSink) applyBatch(batch Batch) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.at[batch.Kind] = Position{Known: true, At: batch.At}
-	r.count[batch.Kind]++
+func (s *positionSink) applyBatch(batch Batch) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.at[batch.Kind] = Position{Known: true, At: batch.At}
+	s.count[batch.Kind]++
 }
 
-func (r *positionSink) confirmKind(Kind)        {}
-func (r *positionSink) storeStateChanged(error) {}
-func (r *positionSink) callFailed(Kind, error)  {}
+func (s *positionSink) confirmKind(Kind)        {}
+func (s *positionSink) storeStateChanged(error) {}
+func (s *positionSink) callFailed(Kind, error)  {}
 
 // copySink is the storeSink of a process that started with an old copy. It checks the status
 // after each event.
@@ -79,23 +79,23 @@
 	violations int
 }
 
-func (k *copySink) position(kind Kind) Position { return k.core.Cache().Positions()[kind] }
-func (k *copySink) storeStateChanged(error)     {}
-func (k *copySink) callFailed(Kind, error)      {}
+func (s *copySink) position(kind Kind) Position { return s.core.Cache().Positions()[kind] }
+func (s *copySink) storeStateChanged(error)     {}
+func (s *copySink) callFailed(Kind, error)      {}
 
-func (k *copySink) applyBatch(batch Batch) {
-	k.core.HandleStoreBatch(time.Now(), batch)
-	k.checkConfirmed()
+func (s *copySink) applyBatch(batch Batch) {
+	s.core.HandleStoreBatch(time.Now(), batch)
+	s.checkConfirmed()
 }
 
-func (k *copySink) confirmKind(kind Kind) {
-	k.core.StoreConfirmed(time.Now(), kind)
-	k.checkConfirmed()
+func (s *copySink) confirmKind(kind Kind) {
+	s.core.StoreConfirmed(time.Now(), kind)
+	s.checkConfirmed()
 }
 
-func (k *copySink) checkConfirmed() {
-	if k.position(Configurations).At < newerRevision && k.core.Status(time.Now()).Confirmed {
-		k.violations++
+func (s *copySink) checkConfirmed() {
+	if s.position(Configurations).At < newerRevision && s.core.Status(time.Now()).Confirmed {
+		s.violations++
 	}
 }
 
@@ -134,13 +134,13 @@
 		require.NoError(t, prober.probe(t.Context(), reader))
 		require.False(t, sink.core.Status(time.Now()).Confirmed, reader.kind.String())
 	}
-	for _, each := range informers {
-		require.NoError(t, each.step(t.Context()))
+	for _, reader := range informers {
+		require.NoError(t, reader.step(t.Context()))
 	}
 	require.True(t, sink.core.Status(time.Now()).Confirmed)
 	require.Zero(t, sink.violations)
-	for _, each := range informers {
-		require.NoError(t, prober.probe(t.Context(), each))
+	for _, reader := range informers {
+		require.NoError(t, prober.probe(t.Context(), reader))
 	}
 	require.True(t, sink.core.Status(time.Now()).Confirmed)
 }
--- a/internal/feed/node_test.go
+++ b/internal/feed/node_test.go
@@ -128,72 +128,72 @@
 }
 
 // apply applies changes to the list of instances.
-func (l *testNode) apply(changes backend.Changes) {
+func (n *testNode) apply(changes backend.Changes) {
 	if changes.All {
-		l.instances = map[string]backend.Instance{}
+		n.instances = map[string]backend.Instance{}
 	}
 	for _, instance := range changes.Listed {
-		l.instances[instance.ID] = instance
+		n.instances[instance.ID] = instance
 	}
 	for _, id := range changes.Gone {
-		delete(l.instances, id)
+		delete(n.instances, id)
 	}
 }
 
-func (l *testNode) withLock(do func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (n *testNode) withLock(do func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	do()
 }
 
 // startNode runs a node that serves polls on a loopback address.
 func startNode(t *testing.T, options Options, batches []Batch) *testNode {
-	l := &testNode{}
+	n := &testNode{}
 	options.Log = discardLogger()
 	options.Handlers = Handlers{
-		Configuration: func(table *route.Table) { l.withLock(func() { l.table = table }) },
-		Instances:     func(changes backend.Changes, _ bool) { l.withLock(func() { l.apply(changes) }) },
-		Status:        func(status Status) { l.withLock(func() { l.statuses = append(l.statuses, status) }) },
+		Configuration: func(table *route.Table) { n.withLock(func() { n.table = table }) },
+		Instances:     func(changes backend.Changes, _ bool) { n.withLock(func() { n.apply(changes) }) },
+		Status:        func(status Status) { n.withLock(func() { n.statuses = append(n.statuses, status) }) },
 	}
-	l.Node = NewNode(options)
-	l.Load(batches)
+	n.Node = NewNode(options)
+	n.Load(batches)
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	l.address = socket.Addr().String()
+	n.address = socket.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
-	l.stop = cancel
+	n.stop = cancel
 	var running sync.WaitGroup
-	running.Go(func() { l.serve(ctx, socket) })
-	running.Go(func() { l.Run(ctx) })
+	running.Go(func() { n.serve(ctx, socket) })
+	running.Go(func() { n.Run(ctx) })
 	t.Cleanup(func() { cancel(); running.Wait() })
-	return l
+	return n
 }
 
-func (l *testNode) awaitVersion(t *testing.T, version uint64) {
+func (n *testNode) awaitVersion(t *testing.T, version uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.table != nil && l.table.Version == version
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return n.table != nil && n.table.Version == version
 	}, 30*time.Second, 5*time.Millisecond)
 }
 
 // awaitInstances waits for the first list of instances. It arrives in a separate handler call
 // and, from a replica that is still reading, in a later reply than the configuration.
-func (l *testNode) awaitInstances(t *testing.T) {
+func (n *testNode) awaitInstances(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return len(l.instances) > 0
+		n.mu.Lock()
+		defer n.mu.Unlock()
+		return len(n.instances) > 0
 	}, 30*time.Second, 5*time.Millisecond)
 }
 
 // awaitFresh waits until the data is fresh: the replica reads each kind separately, and reports
 // confirmed data once it has all of them.
-func (l *testNode) awaitFresh(t *testing.T) {
+func (n *testNode) awaitFresh(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return l.Status().Fresh() }, 30*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return n.Status().Fresh() }, 30*time.Second, 5*time.Millisecond)
 }
 
 func TestGatewayFollowsReplicaWithoutReadingStore(t *testing.T) {
--- a/internal/feed/selector_test.go
+++ b/internal/feed/selector_test.go
@@ -18,9 +18,9 @@
 	now time.Time
 }
 
-func newTestSelector(readAfter time.Duration, candidates ...Upstream) *testSelector {
+func newTestSelector(delay time.Duration, candidates ...Upstream) *testSelector {
 	c := &testSelector{now: begin, Selector: NewSelector(SelectorOptions{
-		Zone: "z", ReadDelay: func(int, int) time.Duration { return readAfter },
+		Zone: "z", ReadDelay: func(int, int) time.Duration { return delay },
 	})}
 	c.SetCandidates(c.now, candidates, 10)
 	return c
@@ -120,15 +120,15 @@
 }
 
 func TestSelectorReadsStoreWhenNoUpstreamIsFresh(t *testing.T) {
-	const readAfter = 1500 * time.Millisecond
-	c := newTestSelector(readAfter, near, near2)
+	const delay = 1500 * time.Millisecond
+	c := newTestSelector(delay, near, near2)
 	c.advanceReplying(5*time.Second, fresh)
 	since := c.now
 	for !c.Decision().Reading {
 		c.advanceReplying(tickInterval, lost)
 		require.Less(t, c.now.Sub(since), 10*time.Second)
 	}
-	require.InDelta(t, readAfter.Seconds(), c.now.Sub(since).Seconds(), 0.25)
+	require.InDelta(t, delay.Seconds(), c.now.Sub(since).Seconds(), 0.25)
 	c.advanceReplying(5*time.Second, lost)
 	require.True(t, c.Decision().Reading)
 	c.advanceReplying(stopReadingAfter/2, fresh)
