--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -13,15 +13,15 @@
 const (
 	configurationRetry = 400 * time.Millisecond
 	replicaRetry       = 300 * time.Millisecond
-	// leastFullRetry is for requests whose caller or deadline left no time to forecast.
-	leastFullRetry = 20 * time.Millisecond
-	// elsewhereRetry is for refusals of this gateway alone: others serve.
-	elsewhereRetry = 20 * time.Millisecond
+	// minOverloadRetry is for requests whose caller or deadline left no time to forecast.
+	minOverloadRetry = 20 * time.Millisecond
+	// otherGatewayRetry is for refusals of this gateway alone: others serve.
+	otherGatewayRetry = 20 * time.Millisecond
 )
 
 // admit matches the request with its route and reads its body.
 func (s *Server) admit(w http.ResponseWriter, r *request, incoming *http.Request) *refusal {
-	if s.ending.Load() {
+	if s.closing.Load() {
 		return refuseFor(verdict.CodeUnavailable, configurationRetry, "the gateway is about to end")
 	}
 	r.table = s.table.Load()
@@ -45,7 +45,7 @@
 	if limit <= 0 {
 		limit = defaultBody
 	}
-	if failure := s.holdRequest(r, headerBytes(incoming)); failure != nil {
+	if failure := s.holdRequestMemory(r, headerBytes(incoming)); failure != nil {
 		return failure
 	}
 	body, failure := s.readBody(w, r, incoming, limit)
@@ -59,9 +59,9 @@
 	r.service = r.table.Services[service]
 	r.service.Name = service
 	s.setDeadline(r)
-	r.setProgramEnd(s.dialect.ProgramDeadline)
-	if s.endsBefore(r.deadline) {
-		return refuseFor(verdict.CodeUnavailable, elsewhereRetry, "the gateway ends before the request's deadline")
+	r.setProgramDeadline(s.dialect.ProgramDeadline)
+	if s.drainEndsBefore(r.deadline) {
+		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "the gateway ends before the request's deadline")
 	}
 	return nil
 }
@@ -73,8 +73,8 @@
 	if r.table.Tenants == nil {
 		return nil
 	}
-	key, shown := tenant.BearerKey(r.header.Values(s.dialect.Authorization))
-	if shown {
+	key, hasKey := tenant.BearerKey(r.header.Values(s.dialect.Authorization))
+	if hasKey {
 		digest := tenant.DigestOf(key)
 		r.keyFingerprint = digest.Fingerprint()
 		r.tenant = r.table.Tenants.Holder(digest)
@@ -82,9 +82,9 @@
 	switch {
 	case r.tenant != nil || r.route.Public:
 		return nil
-	case shown && s.configurationStale():
+	case hasKey && s.configurationStale():
 		return refuseFor(verdict.CodeStaleConfig, configurationRetry, "the key is unknown and the configuration may be old")
-	case shown:
+	case hasKey:
 		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "no tenant holds this key"}
 	default:
 		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "the request shows no key"}
@@ -104,14 +104,14 @@
 }
 
 func (s *Server) setDeadline(r *request) {
-	limit, named := milliseconds(r.header, s.dialect.Deadline)
-	if !named {
-		limit = defaultDeadline
+	timeout, present := milliseconds(r.header, s.dialect.Deadline)
+	if !present {
+		timeout = defaultDeadline
 	}
 	if r.route.Timeout > 0 {
-		limit = min(limit, r.route.Timeout)
+		timeout = min(timeout, r.route.Timeout)
 	}
-	r.deadline = r.arrived.Add(limit)
+	r.deadline = r.arrived.Add(timeout)
 }
 
 // refusal is an answer of the gateway's own.
@@ -128,8 +128,8 @@
 	return &refusal{status: http.StatusServiceUnavailable, code: code, reason: reason, retryAfter: retryAfter}
 }
 
-// uncertain says that the request may have run.
-func uncertain(status int, reason string) *refusal {
+// refuseOutcomeUnknown says that the request may have run.
+func refuseOutcomeUnknown(status int, reason string) *refusal {
 	return &refusal{status: status, code: verdict.CodeOutcomeUnknown, reason: reason}
 }
 
@@ -145,7 +145,7 @@
 	if failure.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(failure.retryAfter.Seconds(), 'f', -1, 64))
 	}
-	s.awaitReader(w, r)
+	s.extendWriteDeadline(w, r)
 	body := []byte(`{"error":"` + string(failure.code) + `"}`)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(failure.status)
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -42,43 +42,43 @@
 // it may. Where only cold instances serve, it is refused at once unless this gateway has a free
 // place soon. One that was sent before waits on: it may be a stream that has begun.
 func (s *Server) refuseWhileCold(r *request, service string) *backend.Failure {
-	wait, shared, only := s.directory.OnlyCold(time.Now(), service)
+	wait, hasShare, onlyCold := s.directory.OnlyCold(time.Now(), service)
 	switch {
-	case !only || r.outcome.sends > 0:
+	case !onlyCold || r.outcome.sends > 0:
 		return nil
-	case !shared:
-		wait = elsewhereRetry
+	case !hasShare:
+		wait = otherGatewayRetry
 	case time.Since(r.arrived)+wait <= r.route.Objective/coldWaitDivisor:
 		return nil
 	}
-	s.log.Info().Str("event", "cold_withheld").Str("id", r.id).Str("service", service).Bool("shared", shared).
-		Dur("wait", wait).Int64("list_age_ms", s.listAge().Milliseconds()).Msg("")
+	s.log.Info().Str("event", "cold_withheld").Str("id", r.id).Str("service", service).Bool("shared", hasShare).
+		Dur("wait", wait).Int64("list_age_ms", s.instanceListAge().Milliseconds()).Msg("")
 	return &backend.Failure{Verdict: verdict.NotRun, RetryAfter: wait, Reason: "all instances are cold and have no place for this gateway"}
 }
 
-// coldReport logs and counts what the directory believes of cold instances.
-type coldReport struct {
+// coldObserver logs and counts what the directory believes of cold instances.
+type coldObserver struct {
 	log     *log.Logger
 	metrics *Metrics
 }
 
 // ColdChanged implements backend.ColdObserver.
-func (c coldReport) ColdChanged(change coldstart.Change) {
+func (c coldObserver) ColdChanged(change coldstart.Change) {
 	c.log.Info().Str("event", "cold_changed").Str("instance", change.Instance).Str("service", change.Service).
 		Bool("cold", change.Cold).Dur("remaining", change.Remaining).Int("places", change.Share).Msg("")
 }
 
 // ColdCount implements backend.ColdObserver.
-func (c coldReport) ColdCount(cold int) { c.metrics.cold.Set(float64(cold)) }
+func (c coldObserver) ColdCount(cold int) { c.metrics.cold.Set(float64(cold)) }
 
 // ColdSent implements backend.ColdObserver.
-func (c coldReport) ColdSent() { c.metrics.coldSends.Inc() }
+func (c coldObserver) ColdSent() { c.metrics.coldSends.Inc() }
 
 // ColdWithheld implements backend.ColdObserver.
-func (c coldReport) ColdWithheld() { c.metrics.coldWithheld.Inc() }
+func (c coldObserver) ColdWithheld() { c.metrics.coldWithheld.Inc() }
 
-// addCold registers the metrics of cold instances.
-func (m *Metrics) addCold(labels prometheus.Labels) {
+// registerCold registers the metrics of cold instances.
+func (m *Metrics) registerCold(labels prometheus.Labels) {
 	m.cold = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "swiftbank_cold_instances", Help: "Instances that are cold and get a limited rate.", ConstLabels: labels,
 	})
--- a/internal/gateway/coldstart_test.go
+++ b/internal/gateway/coldstart_test.go
@@ -33,6 +33,6 @@
 	require.Equal(t, http.StatusServiceUnavailable, answer.Code)
 	seconds, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
 	require.NoError(t, err)
-	require.Greater(t, seconds, elsewhereRetry.Seconds(), "when the place is free again")
+	require.Greater(t, seconds, otherGatewayRetry.Seconds(), "when the place is free again")
 	require.LessOrEqual(t, seconds, coldstart.Window.Seconds())
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -24,30 +24,30 @@
 
 func newEventReader(source *bufio.Reader) *eventReader { return &eventReader{source: source} }
 
-// errPartial says that the stream ended within an event.
-var errPartial = errors.New("the stream ended within an event")
+// errTruncatedEvent says that the stream ended within an event.
+var errTruncatedEvent = errors.New("the stream ended within an event")
 
 // next returns the next whole event, or io.EOF at the stream's end.
 func (r *eventReader) next() (event, error) {
-	var read event
+	var parsed event
 	for {
 		line, err := r.source.ReadBytes('\n')
-		if err == io.EOF && len(line)+len(read.raw) > 0 {
-			return event{}, errPartial
+		if err == io.EOF && len(line)+len(parsed.raw) > 0 {
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
 		}
-		read.raw = append(read.raw, line...)
+		parsed.raw = append(parsed.raw, line...)
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			return read, nil
+			return parsed, nil
 		}
-		read.takeLine(line)
+		parsed.parseLine(line)
 	}
 }
 
-func (e *event) takeLine(line []byte) {
+func (e *event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -33,7 +33,7 @@
 func TestAPartialEventIsNeverReturned(t *testing.T) {
 	for _, tail := range []string{"i", "id: 2", "id: 2\n", "id: 2\ndata: tw"} {
 		events, err := readEvents("id: 1\ndata: one\n\n" + tail)
-		require.Equal(t, errPartial, err, tail)
+		require.Equal(t, errTruncatedEvent, err, tail)
 		require.Len(t, events, 1)
 	}
 }
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -11,9 +11,9 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// surelyAbove is the excess from which a tenant is put behind others: below it, the age of what
+// excessThreshold is the excess from which a tenant is put behind others: below it, the age of what
 // other gateways reported may make up the difference.
-const surelyAbove = 0.5
+const excessThreshold = 0.5
 
 // tenantShares is the service that tenants had of late. It is safe for concurrent use.
 type tenantShares struct {
@@ -25,7 +25,7 @@
 
 func newTenantShares(metrics *Metrics) *tenantShares {
 	excess := prometheus.NewHistogram(prometheus.HistogramOpts{
-		Name: "swiftbank_tenant_excess", ConstLabels: metrics.labels, Buckets: []float64{0, surelyAbove, 1, 2, 4, 8},
+		Name: "swiftbank_tenant_excess", ConstLabels: metrics.labels, Buckets: []float64{0, excessThreshold, 1, 2, 4, 8},
 		Help: "How far above its fair share a new program's tenant was, 0 within it, at each decision.",
 	})
 	metrics.Registry.MustRegister(excess)
@@ -36,9 +36,9 @@
 // that the operator has granted.
 func (t *tenantShares) setWeights(tenants *tenant.Index) {
 	weights := map[string]float64{}
-	for _, listed := range tenants.Tenants() {
-		if listed.Limit.Limited() {
-			weights[listed.Name] = listed.Limit.PerSecond
+	for _, configured := range tenants.Tenants() {
+		if configured.Limit.Limited() {
+			weights[configured.Name] = configured.Limit.PerSecond
 		}
 	}
 	t.mu.Lock()
@@ -51,8 +51,8 @@
 	return s.options.FairShares && r.tenant != nil && s.rationed(r)
 }
 
-// tenantServed counts the slot time of a request that was answered whole.
-func (s *Server) tenantServed(now time.Time, r *request, took time.Duration) {
+// recordTenantService counts the slot time of a request that was answered whole.
+func (s *Server) recordTenantService(now time.Time, r *request, took time.Duration) {
 	if !s.sharesFairly(r) {
 		return
 	}
@@ -64,15 +64,15 @@
 // tenantExcess returns how far above its fair share the tenant of a new program is: 0 within
 // it, and for what is not surely above it. Begun programs have none: they are not put behind.
 func (s *Server) tenantExcess(r *request) float64 {
-	if !r.first || !s.sharesFairly(r) {
+	if !r.firstOfProgram || !s.sharesFairly(r) {
 		return 0
 	}
 	s.shares.mu.Lock()
 	excess := s.shares.shares.Excess(time.Now(), r.tenant.Name)
 	s.shares.mu.Unlock()
 	s.shares.excess.Observe(excess)
-	r.outcome.excess = excess
-	if excess < surelyAbove {
+	r.outcome.tenantExcess = excess
+	if excess < excessThreshold {
 		return 0
 	}
 	return excess
@@ -97,19 +97,19 @@
 
 func (p *shareSection) name() string { return "shares" }
 
-func (p *shareSection) own(now time.Time) []byte {
+func (p *shareSection) ownFigures(now time.Time) []byte {
 	p.shares.mu.Lock()
 	defer p.shares.mu.Unlock()
 	return encodeFigures(p.shares.shares.Own(now))
 }
 
-func (p *shareSection) zone(now time.Time) []byte {
+func (p *shareSection) zoneFigures(now time.Time) []byte {
 	p.shares.mu.Lock()
 	defer p.shares.mu.Unlock()
 	return encodeFigures(p.shares.shares.Zone(now))
 }
 
-func (p *shareSection) take(now time.Time, source tally.Source, version tally.Version, encoded []byte) {
+func (p *shareSection) apply(now time.Time, source tally.Source, version tally.Version, encoded []byte) {
 	if !p.versions.isNewer(source, version) {
 		return
 	}
--- a/internal/gateway/fairshare_test.go
+++ b/internal/gateway/fairshare_test.go
@@ -26,11 +26,11 @@
 	there.shares.Served(now, "calm", 100*time.Millisecond)
 	section := (&Server{shares: here}).ShareSection()
 	source := tally.Source{Gateway: "there"}
-	section.take(now, source, tally.Version{Number: 2}, (&shareSection{shares: there}).own(now))
-	section.take(now, source, tally.Version{Number: 1}, (&shareSection{shares: sharesOf()}).own(now))
+	section.apply(now, source, tally.Version{Number: 2}, (&shareSection{shares: there}).ownFigures(now))
+	section.apply(now, source, tally.Version{Number: 1}, (&shareSection{shares: sharesOf()}).ownFigures(now))
 	s := &Server{shares: here, options: Options{LoadControl: true, FairShares: true}}
 	of := func(name string, first bool) float64 {
-		return s.tenantExcess(&request{tenant: &tenant.Tenant{Name: name}, first: first, service: route.Service{Generates: true}})
+		return s.tenantExcess(&request{tenant: &tenant.Tenant{Name: name}, firstOfProgram: first, service: route.Service{Generates: true}})
 	}
 	require.InDelta(t, 0.8, of("hot", true), 0.05)
 	require.Zero(t, of("hot", false), "a begun program is not put behind")
@@ -45,7 +45,7 @@
 	for number := range 9700 {
 		shares.shares.Served(now, fmt.Sprint("tenant-", number), time.Duration(number)*time.Millisecond)
 	}
-	size := len((&shareSection{shares: shares}).own(now))
+	size := len((&shareSection{shares: shares}).ownFigures(now))
 	t.Logf("%d bytes", size)
 	require.LessOrEqual(t, size, 300)
 }
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -35,12 +35,12 @@
 	// at most 60 datagrams a second, however many gateways there are.
 	neighbourFanout = 2
 	remoteFanout    = 1
-	// distantInterval is how often a zone is told of in each zone of other regions, where its
+	// crossRegionInterval is how often a zone is told of in each zone of other regions, where its
 	// load matters to a program that must leave its own region; speakers is how many gateways
 	// of the zone do so, for one may be cut off. Over a link that all regions share, a report
 	// to any gateway by any other would cost more than all turns do.
-	distantInterval = 500 * time.Millisecond
-	speakers        = 2
+	crossRegionInterval = 500 * time.Millisecond
+	zoneReporters        = 2
 	// datagramBytes bounds one datagram.
 	datagramBytes = 60 << 10
 )
@@ -74,25 +74,25 @@
 
 	// sections are the parts of the reports that belong to features; sent numbers the reports.
 	sections []reportSection
-	sent     uint64
+	reportsSent     uint64
 	// caches are the replicas that keep what was learned; nil for none.
 	caches *learnedCaches
 
 	// heardAt is when a report last came, since started; others is how many gateways
 	// there are besides this one.
 	started time.Time
-	heardAt atomic.Int64
-	others  atomic.Int64
+	receivedAt atomic.Int64
+	peerCount  atomic.Int64
 
 	mu         sync.Mutex
 	neighbours rotation
 	// remotes holds the gateways of the region's other zones, and a nil address for each
 	// gateway of another region: a turn in which nothing is sent.
 	remotes rotation
-	// distant holds the gateways of each zone of other regions; speaks is set on the
+	// otherRegions holds the gateways of each zone of other regions; speaks is set on the
 	// gateways that report there.
-	distant map[string]*rotation
-	speaks  bool
+	otherRegions map[string]*rotation
+	reportsZone  bool
 }
 
 // gossipTimeout is how long no gateway may be heard of before all are out of reach:
@@ -101,7 +101,7 @@
 
 // PeersTimedOut reports whether there are other gateways and none has been heard of lately.
 func (g *Gossip) PeersTimedOut(now time.Time) bool {
-	return g.others.Load() > 0 && now.Sub(g.started)-time.Duration(g.heardAt.Load()) > gossipTimeout
+	return g.peerCount.Load() > 0 && now.Sub(g.started)-time.Duration(g.receivedAt.Load()) > gossipTimeout
 }
 
 // rotation hands out its addresses in turn.
@@ -110,8 +110,8 @@
 	next      int
 }
 
-// take returns up to count addresses, each in its turn.
-func (r *rotation) take(count int) []net.Addr {
+// nextAddresses returns up to count addresses, each in its turn.
+func (r *rotation) nextAddresses(count int) []net.Addr {
 	count = min(count, len(r.addresses))
 	taken := make([]net.Addr, 0, count)
 	for range count {
@@ -130,14 +130,14 @@
 func (g *Gossip) SetGateways(nodes map[string]replicaset.Node) {
 	var neighbours, remotes []net.Addr
 	distant := map[string]*rotation{}
-	others, rank := 0, 0
+	peerCount, rank := 0, 0
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		node := nodes[name]
 		address, err := net.ResolveUDPAddr("udp", node.Address)
 		if err != nil || name == g.node {
 			continue
 		}
-		others++
+		peerCount++
 		switch g.places.Distance(g.zone, node.Zone) {
 		case place.SameZone:
 			neighbours = append(neighbours, address)
@@ -157,18 +157,18 @@
 		}
 	}
 	if len(distant) > 0 {
-		g.spread(remotes)
+		g.shuffleEmptySlots(remotes)
 	}
-	g.others.Store(int64(others))
+	g.peerCount.Store(int64(peerCount))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.neighbours.addresses, g.remotes.addresses = neighbours, remotes
-	g.distant, g.speaks = distant, rank < speakers
+	g.otherRegions, g.reportsZone = distant, rank < zoneReporters
 }
 
-// spread shuffles the empty turns among the others, in an order of this gateway's
+// shuffleEmptySlots shuffles the empty turns among the others, in an order of this gateway's
 // own: if all gateways skipped the same turns, they would be believed to have no load.
-func (g *Gossip) spread(remotes []net.Addr) {
+func (g *Gossip) shuffleEmptySlots(remotes []net.Addr) {
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(g.node), uint64(len(remotes))))
 	random.Shuffle(len(remotes), func(i, j int) { remotes[i], remotes[j] = remotes[j], remotes[i] })
 }
@@ -194,11 +194,11 @@
 func (g *Gossip) send(ctx context.Context, socket net.PacketConn) {
 	var last map[string]int
 	var sentAt, distantAt time.Time
-	for g.awaitTurn(ctx, len(last) > 0) {
+	for g.awaitLoadChange(ctx, len(last) > 0) {
 		now := time.Now()
-		if now.Sub(distantAt) >= distantInterval {
+		if now.Sub(distantAt) >= crossRegionInterval {
 			distantAt = now
-			g.sendTo(socket, g.takeDistant(), g.zoneReport(now))
+			g.sendTo(socket, g.nextOtherRegions(), g.zoneReport(now))
 		}
 		loads := g.directory.Loads(now)
 		if maps.Equal(loads, last) && now.Sub(sentAt) < gossipRefresh {
@@ -206,7 +206,7 @@
 		}
 		last, sentAt = loads, now
 		g.mu.Lock()
-		neighbours, remotes := g.neighbours.take(neighbourFanout), g.remotes.take(remoteFanout)
+		neighbours, remotes := g.neighbours.nextAddresses(neighbourFanout), g.remotes.nextAddresses(remoteFanout)
 		g.mu.Unlock()
 		g.sendTo(socket, neighbours, loadReport{Gateway: g.node, Loads: loads, Version: g.nextVersion(), Sections: g.ownSections(now)})
 		g.sendTo(socket, remotes, g.zoneReport(now))
@@ -222,14 +222,14 @@
 
 // nextVersion numbers a report. Only the sending goroutine calls it.
 func (g *Gossip) nextVersion() tally.Version {
-	g.sent++
-	return tally.Version{Started: g.started.UnixNano(), Number: g.sent}
+	g.reportsSent++
+	return tally.Version{Started: g.started.UnixNano(), Number: g.reportsSent}
 }
 
-// awaitTurn waits until this gateway's load may have changed: for gossipInterval while requests
+// awaitLoadChange waits until this gateway's load may have changed: for gossipInterval while requests
 // are in flight, and else until one is placed, but not past gossipRefresh. A gateway of a large
 // fleet has none most of the time, and would wake up twenty times a second for nothing.
-func (g *Gossip) awaitTurn(ctx context.Context, busy bool) bool {
+func (g *Gossip) awaitLoadChange(ctx context.Context, busy bool) bool {
 	if !wait.For(ctx, gossipInterval) {
 		return false
 	}
@@ -246,23 +246,23 @@
 	return ctx.Err() == nil
 }
 
-// takeDistant returns one gateway of each zone of other regions, if this one reports there.
-func (g *Gossip) takeDistant() []net.Addr {
+// nextOtherRegions returns one gateway of each zone of other regions, if this one reports there.
+func (g *Gossip) nextOtherRegions() []net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.speaks {
+	if !g.reportsZone {
 		return nil
 	}
 	var taken []net.Addr
-	for _, zone := range slices.Sorted(maps.Keys(g.distant)) {
-		taken = append(taken, g.distant[zone].take(1)...)
+	for _, zone := range slices.Sorted(maps.Keys(g.otherRegions)) {
+		taken = append(taken, g.otherRegions[zone].nextAddresses(1)...)
 	}
 	return taken
 }
 
-// passOn forwards a report of another region to all gateways of the own zone: it was sent to
+// forward forwards a report of another region to all gateways of the own zone: it was sent to
 // one of them only.
-func (g *Gossip) passOn(socket net.PacketConn, report loadReport) {
+func (g *Gossip) forward(socket net.PacketConn, report loadReport) {
 	if report.Passed || report.Zone == "" || g.places.Distance(g.zone, report.Zone) != place.OtherRegion {
 		return
 	}
@@ -303,19 +303,19 @@
 			continue
 		}
 		if report.Learned != nil {
-			g.recall(time.Now(), *report.Learned)
+			g.restoreLearned(time.Now(), *report.Learned)
 			continue
 		}
-		g.take(time.Now(), report)
-		g.passOn(socket, report)
+		g.apply(time.Now(), report)
+		g.forward(socket, report)
 	}
 }
 
-// take applies one report. A report of the own zone is what its gateways say
+// apply applies one report. A report of the own zone is what its gateways say
 // themselves.
-func (g *Gossip) take(now time.Time, report loadReport) {
-	g.heardAt.Store(int64(now.Sub(g.started)))
-	g.takeSections(now, report)
+func (g *Gossip) apply(now time.Time, report loadReport) {
+	g.receivedAt.Store(int64(now.Sub(g.started)))
+	g.applySections(now, report)
 	switch report.Zone {
 	case "":
 		g.directory.RemoteLoads(now, backend.LoadSource{Gateway: report.Gateway}, report.Loads)
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -32,11 +32,11 @@
 func TestAZoneIsHeardOfByAnyOfItsGateways(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := gossipOf("a1", "a")
-	g.take(now, loadReport{Gateway: "a2", Loads: map[string]int{"e": 2}})
-	g.take(now, loadReport{Gateway: "b1", Zone: "b", Loads: map[string]int{"e": 5}})
-	g.take(now, loadReport{Gateway: "b2", Zone: "b", Loads: map[string]int{"e": 4}})
+	g.apply(now, loadReport{Gateway: "a2", Loads: map[string]int{"e": 2}})
+	g.apply(now, loadReport{Gateway: "b1", Zone: "b", Loads: map[string]int{"e": 5}})
+	g.apply(now, loadReport{Gateway: "b2", Zone: "b", Loads: map[string]int{"e": 4}})
 	require.Equal(t, 6, believedLoad(t, g), "two of a2, and the newest word of zone b")
-	g.take(now, loadReport{Gateway: "a3", Zone: "a", Loads: map[string]int{"e": 9}})
+	g.apply(now, loadReport{Gateway: "a3", Zone: "a", Loads: map[string]int{"e": 9}})
 	require.Equal(t, 6, believedLoad(t, g), "the own zone is not counted twice")
 	require.Equal(t, map[string]int{"e": 2}, g.directory.ZoneLoads(time.Unix(1000, 0)), "what other zones have is not passed on as the own zone's")
 }
@@ -52,7 +52,7 @@
 		g.SetGateways(nodes)
 		heard := map[string]bool{}
 		for range 4 * gateways {
-			neighbours, remotes := g.neighbours.take(neighbourFanout), g.remotes.take(remoteFanout)
+			neighbours, remotes := g.neighbours.nextAddresses(neighbourFanout), g.remotes.nextAddresses(remoteFanout)
 			require.LessOrEqual(t, len(neighbours)+len(remotes), neighbourFanout+remoteFanout)
 			for _, address := range append(neighbours, remotes...) {
 				heard[address.String()] = true
@@ -69,7 +69,7 @@
 	g.SetGateways(map[string]replicaset.Node{"a1": {Name: "a1", Zone: "a", Address: "127.0.0.1:1"}, "b1": {Name: "b1", Zone: "b", Address: "127.0.0.1:2"}})
 	require.False(t, g.PeersTimedOut(now.Add(gossipRefresh)), "the others may not have reported yet")
 	require.True(t, g.PeersTimedOut(now.Add(2*gossipTimeout)))
-	g.take(now.Add(2*gossipTimeout), loadReport{Gateway: "b1", Zone: "b"})
+	g.apply(now.Add(2*gossipTimeout), loadReport{Gateway: "b1", Zone: "b"})
 	require.False(t, g.PeersTimedOut(now.Add(2*gossipTimeout+gossipRefresh)))
 }
 
@@ -88,13 +88,13 @@
 		told := slices.DeleteFunc(slices.Clone(g.remotes.addresses), func(a net.Addr) bool { return a == nil })
 		require.Len(t, told, 10, "the region's other zone")
 		require.Len(t, g.remotes.addresses, 30, "as often as among all zones")
-		if reached := g.takeDistant(); len(reached) > 0 {
+		if reached := g.nextOtherRegions(); len(reached) > 0 {
 			speaking++
 			require.Len(t, reached, 2, "one in each zone of the other region")
-			require.NotEqual(t, reached, g.takeDistant(), "each in its turn")
+			require.NotEqual(t, reached, g.nextOtherRegions(), "each in its turn")
 		}
 	}
-	require.Equal(t, 4*speakers, speaking)
+	require.Equal(t, 4*zoneReporters, speaking)
 }
 
 // datagrams keeps what is sent.
@@ -116,11 +116,11 @@
 		"b1": {Name: "b1", Zone: "b", Address: "127.0.0.1:3"}, "c1": {Name: "c1", Zone: "c", Address: "127.0.0.1:4"},
 	})
 	socket := &datagrams{}
-	g.passOn(socket, loadReport{Gateway: "c1", Zone: "c"})
+	g.forward(socket, loadReport{Gateway: "c1", Zone: "c"})
 	require.Equal(t, []string{"127.0.0.1:2"}, socket.to, "to the own zone")
-	g.passOn(socket, loadReport{Gateway: "c1", Zone: "c", Passed: true})
-	g.passOn(socket, loadReport{Gateway: "b1", Zone: "b"})
-	g.passOn(socket, loadReport{Gateway: "a2"})
+	g.forward(socket, loadReport{Gateway: "c1", Zone: "c", Passed: true})
+	g.forward(socket, loadReport{Gateway: "b1", Zone: "b"})
+	g.forward(socket, loadReport{Gateway: "a2"})
 	require.Len(t, socket.to, 1, "neither twice, nor what its own region hears itself")
 }
 
@@ -132,7 +132,7 @@
 		turns := func(busy bool, span time.Duration) int {
 			count := 0
 			for began := time.Now(); time.Since(began) < span; count++ {
-				require.True(t, g.awaitTurn(t.Context(), busy))
+				require.True(t, g.awaitLoadChange(t.Context(), busy))
 			}
 			return count
 		}
@@ -140,7 +140,7 @@
 		require.Equal(t, 200, turns(true, 10*time.Second))
 		time.AfterFunc(120*time.Millisecond, func() { g.directory.Pick(time.Unix(1000, 0), backend.Demand{Service: "llm"}) })
 		began := time.Now()
-		g.awaitTurn(t.Context(), false)
+		g.awaitLoadChange(t.Context(), false)
 		require.Equal(t, 120*time.Millisecond, time.Since(began))
 	})
 }
--- a/internal/gateway/heldmemory.go
+++ b/internal/gateway/heldmemory.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// requestBytes is what a request holds besides its body and its answer: its goroutines'
+	// requestOverheadBytes is what a request holds besides its body and its answer: its goroutines'
 	// stacks, and the buffers of its two connections.
-	requestBytes = 32 << 10
+	requestOverheadBytes = 32 << 10
 	// bodyCopies is how often a request's body is held: as it came, and as it is sent.
 	bodyCopies = 2
-	// unreadLimit is how long a caller may leave what is written to it unread, and how long it may
+	// defaultUnreadTimeout is how long a caller may leave what is written to it unread, and how long it may
 	// take for a body, before its connection is closed: longer than networks stall, and than
 	// instances wait for a reader.
-	unreadLimit = 30 * time.Second
+	defaultUnreadTimeout = 30 * time.Second
 )
 
 // heldMemory counts the bytes that the gateway holds for its callers. It is safe for concurrent
@@ -83,14 +83,14 @@
 	return "the memory for callers is used up, bound: " + e.bound.String()
 }
 
-// growingReader counts each byte that is read from a source copies times.
-type growingReader struct {
+// accountingReader counts each byte that is read from a source copies times.
+type accountingReader struct {
 	source io.Reader
 	held   *holding
 	copies int
 }
 
-func (r growingReader) Read(buffer []byte) (int, error) {
+func (r accountingReader) Read(buffer []byte) (int, error) {
 	read, err := r.source.Read(buffer)
 	if bound := r.held.grow(read * r.copies); bound != memorybudget.Within {
 		return 0, &memoryError{bound: bound}
@@ -105,69 +105,69 @@
 	return s.held != nil && (s.options.LoadControl || slices.ContainsFunc(r.route.Targets, controlled))
 }
 
-// holdRequest counts a request that begins with its header, or refuses it.
-func (s *Server) holdRequest(r *request, headerBytes int) *refusal {
+// holdRequestMemory counts a request that begins with its header, or refuses it.
+func (s *Server) holdRequestMemory(r *request, headerBytes int) *refusal {
 	if !s.boundsMemory(r) {
 		return nil
 	}
 	s.held.mu.Lock()
-	begun, bound := s.held.budget.Begin(r.tenantName(), requestBytes+int64(headerBytes))
+	held, bound := s.held.budget.Begin(r.tenantName(), requestOverheadBytes+int64(headerBytes))
 	s.held.mu.Unlock()
 	if bound != memorybudget.Within {
-		return s.refuseHeld(r, bound)
+		return s.refuseForMemory(r, bound)
 	}
-	r.held = &holding{memory: s.held, held: begun}
+	r.held = &holding{memory: s.held, held: held}
 	return nil
 }
 
 // readBody reads a request's body of up to limit bytes, as far as there is memory for it. After
 // a failure the limit of time stays: the server reads what is left of the body.
 func (s *Server) readBody(w http.ResponseWriter, r *request, incoming *http.Request, limit int64) ([]byte, *refusal) {
-	s.limitReading(w, r, time.Now().Add(s.unreadLimit))
+	s.setReadDeadline(w, r, time.Now().Add(s.unreadTimeout))
 	source := http.MaxBytesReader(w, incoming.Body, limit)
-	body, err := io.ReadAll(growingReader{source: source, held: r.held, copies: bodyCopies})
-	var large *http.MaxBytesError
-	var full *memoryError
+	body, err := io.ReadAll(accountingReader{source: source, held: r.held, copies: bodyCopies})
+	var tooLarge *http.MaxBytesError
+	var outOfMemory *memoryError
 	switch {
 	case err == nil:
-		s.limitReading(w, r, time.Time{})
+		s.setReadDeadline(w, r, time.Time{})
 		return body, nil
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, &refusal{status: http.StatusRequestEntityTooLarge, code: verdict.CodeTooLarge, reason: "the body is larger than allowed"}
-	case errors.As(err, &full):
-		return nil, s.refuseHeld(r, full.bound)
+	case errors.As(err, &outOfMemory):
+		return nil, s.refuseForMemory(r, outOfMemory.bound)
 	default:
 		return nil, &refusal{status: http.StatusBadRequest, code: verdict.CodeBadRequest, reason: "the body ended early"}
 	}
 }
 
-// refuseHeld refuses a request that has not run for lack of memory: another gateway may have
+// refuseForMemory refuses a request that has not run for lack of memory: another gateway may have
 // some.
-func (s *Server) refuseHeld(r *request, bound memorybudget.Bound) *refusal {
-	s.logHeld(r, bound, false)
-	return refuseFor(verdict.CodeOverloaded, elsewhereRetry, "the gateway has no memory left for the request")
+func (s *Server) refuseForMemory(r *request, bound memorybudget.Bound) *refusal {
+	s.logMemoryBound(r, bound, false)
+	return refuseFor(verdict.CodeOverloaded, otherGatewayRetry, "the gateway has no memory left for the request")
 }
 
-// logHeld writes which bound of memory ended a request; ran says whether it may have run.
-func (s *Server) logHeld(r *request, bound memorybudget.Bound, ran bool) {
+// logMemoryBound writes which bound of memory ended a request; ran says whether it may have run.
+func (s *Server) logMemoryBound(r *request, bound memorybudget.Bound, ran bool) {
 	s.metrics.memoryBound.WithLabelValues(bound.String()).Inc()
 	s.log.Warn().Str("event", "memory_bound").Str("id", r.id).Str("tenant", r.tenantName()).Str("bound", bound.String()).
 		Bool("ran", ran).Float64("held_bytes", s.held.held()).Int64("in_flight", s.inFlight.Load()).Msg("")
 }
 
-// awaitReader gives a caller time to read what is written next. Without a limit a caller that
+// extendWriteDeadline gives a caller time to read what is written next. Without a limit a caller that
 // reads nothing would hold its request, and the connection to its instance, for good.
-func (s *Server) awaitReader(w http.ResponseWriter, r *request) {
-	s.logUnlimited(r, http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.unreadLimit)))
+func (s *Server) extendWriteDeadline(w http.ResponseWriter, r *request) {
+	s.logDeadlineError(r, http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.unreadTimeout)))
 }
 
-// limitReading bounds how long a caller may take for a body; zero lifts the limit.
-func (s *Server) limitReading(w http.ResponseWriter, r *request, until time.Time) {
-	s.logUnlimited(r, http.NewResponseController(w).SetReadDeadline(until))
+// setReadDeadline bounds how long a caller may take for a body; zero lifts the limit.
+func (s *Server) setReadDeadline(w http.ResponseWriter, r *request, deadline time.Time) {
+	s.logDeadlineError(r, http.NewResponseController(w).SetReadDeadline(deadline))
 }
 
-// logUnlimited writes that a caller's connection took no limit of time.
-func (s *Server) logUnlimited(r *request, err error) {
+// logDeadlineError writes that a caller's connection took no limit of time.
+func (s *Server) logDeadlineError(r *request, err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		s.log.Warn().Str("event", "caller_unlimited").Str("id", r.id).Err(err).Msg("")
 	}
--- a/internal/gateway/instanceruns.go
+++ b/internal/gateway/instanceruns.go
@@ -9,25 +9,25 @@
 type instanceRuns struct {
 	// attempts is how many instances may run the request.
 	attempts int
-	// ran are the instances that may have run it, the last one at the end.
-	ran []string
+	// instances are the instances that may have run it, the last one at the end.
+	instances []string
 }
 
 // add notes that an instance may have run the request: an unknown outcome counts as a run.
 func (r *instanceRuns) add(instance string) {
-	r.ran = slices.DeleteFunc(r.ran, func(known string) bool { return known == instance })
-	r.ran = append(r.ran, instance)
+	r.instances = slices.DeleteFunc(r.instances, func(known string) bool { return known == instance })
+	r.instances = append(r.instances, instance)
 }
 
-// only returns the instance that alone may run the request next, "" while another one may.
+// requiredInstance returns the instance that alone may run the request next, "" while another one may.
 // Where several ran it, the one that ran it longest ago comes next if the last one gave nothing.
-func (r *instanceRuns) only(gaveNothing bool) string {
+func (r *instanceRuns) requiredInstance(noProgress bool) string {
 	switch {
-	case len(r.ran) == 0 || len(r.ran) < r.attempts:
+	case len(r.instances) == 0 || len(r.instances) < r.attempts:
 		return ""
-	case gaveNothing:
-		return r.ran[0]
+	case noProgress:
+		return r.instances[0]
 	default:
-		return r.ran[len(r.ran)-1]
+		return r.instances[len(r.instances)-1]
 	}
 }
--- a/internal/gateway/instanceruns_test.go
+++ b/internal/gateway/instanceruns_test.go
@@ -27,10 +27,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runs := instanceRuns{attempts: test.attempts}
-			require.Empty(t, runs.only(false), "nothing ran yet")
+			require.Empty(t, runs.requiredInstance(false), "nothing ran yet")
 			for _, step := range test.steps {
 				runs.add(step.ran)
-				require.Equal(t, step.only, runs.only(step.gaveNothing))
+				require.Equal(t, step.only, runs.requiredInstance(step.gaveNothing))
 			}
 		})
 	}
--- a/internal/gateway/instancespeed.go
+++ b/internal/gateway/instancespeed.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// speedPause times the number of sources is the least time between two reports of speeds, so
+	// speedReportSpacing times the number of sources is the least time between two reports of speeds, so
 	// that the traffic of one gateway does not grow with the fleet.
-	speedPause = 4 * time.Millisecond
-	// speedEntries bounds what one report tells of instances' speeds: 12 bytes each.
-	speedEntries = 24
+	speedReportSpacing = 4 * time.Millisecond
+	// maxSpeedEntries bounds what one report tells of instances' speeds: 12 bytes each.
+	maxSpeedEntries = 24
 	// speedReviewInterval is how often the believed speeds are compared with those logged last.
 	speedReviewInterval = time.Second
-	// mostSpeedChanges bounds the lines that one comparison writes.
-	mostSpeedChanges = 8
+	// maxLoggedSpeedChanges bounds the lines that one comparison writes.
+	maxLoggedSpeedChanges = 8
 )
 
 // placesByExpectedEnd reports whether the request goes where it is expected to end soonest: where
@@ -44,8 +44,8 @@
 type speedSection struct {
 	directory *backend.Directory
 	review    *speedReview
-	// ownAt and zoneAt are when each kind of report last told of speeds.
-	ownAt, zoneAt time.Time
+	// ownReportedAt and zoneReportedAt are when each kind of report last told of speeds.
+	ownReportedAt, zoneReportedAt time.Time
 }
 
 // NewSpeedSection returns the section of the load reports for instances' speeds.
@@ -55,27 +55,27 @@
 
 func (s *speedSection) name() string { return "speeds" }
 
-func (s *speedSection) own(now time.Time) []byte {
+func (s *speedSection) ownFigures(now time.Time) []byte {
 	if s.review.isDue(now) {
-		s.review.look(now, s.directory.Speeds(now))
+		s.review.compare(now, s.directory.Speeds(now))
 	}
-	return s.report(now, false, &s.ownAt)
+	return s.report(now, false, &s.ownReportedAt)
 }
 
-func (s *speedSection) zone(now time.Time) []byte {
-	return s.report(now, true, &s.zoneAt)
+func (s *speedSection) zoneFigures(now time.Time) []byte {
+	return s.report(now, true, &s.zoneReportedAt)
 }
 
 // report returns what is told, unless the last report that did so went out moments ago.
-func (s *speedSection) report(now time.Time, wholeZone bool, told *time.Time) []byte {
-	if now.Sub(*told) < time.Duration(s.directory.SpeedReporters())*speedPause {
+func (s *speedSection) report(now time.Time, wholeZone bool, reportedAt *time.Time) []byte {
+	if now.Sub(*reportedAt) < time.Duration(s.directory.SpeedReporters())*speedReportSpacing {
 		return nil
 	}
-	*told = now
-	return instancespeed.Encode(s.directory.SpeedReport(now, wholeZone, speedEntries))
+	*reportedAt = now
+	return instancespeed.Encode(s.directory.SpeedReport(now, wholeZone, maxSpeedEntries))
 }
 
-func (s *speedSection) take(now time.Time, source tally.Source, version tally.Version, figures []byte) {
+func (s *speedSection) apply(now time.Time, source tally.Source, version tally.Version, figures []byte) {
 	entries, err := instancespeed.Decode(figures)
 	if err != nil {
 		s.review.log.Warn().Str("event", "report_unreadable").Str("section", s.name()).Str("gateway", source.Gateway).
@@ -90,7 +90,7 @@
 type speedReview struct {
 	log     *log.Logger
 	metrics *Metrics
-	at      time.Time
+	reviewedAt      time.Time
 	classes map[string]speedClass
 }
 
@@ -101,39 +101,39 @@
 // speedClass is a range of speeds in steps of a half: 0 is usual speed, 1 is slower by about 1.5.
 type speedClass int
 
-// classOf returns the class of a belief. It stays what it was until the belief is well within
+// classify returns the class of a belief. It stays what it was until the belief is well within
 // another class.
-func classOf(slower float64, before speedClass) speedClass {
+func classify(slowness float64, previous speedClass) speedClass {
 	const (
 		step = 0.4 // about a factor of 1.5, as a logarithm
-		stay = 0.75
+		hysteresis = 0.75
 	)
-	if math.Abs(slower/step-float64(before)) < stay {
-		return before
+	if math.Abs(slowness/step-float64(previous)) < hysteresis {
+		return previous
 	}
-	return speedClass(math.Round(slower / step))
+	return speedClass(math.Round(slowness / step))
 }
 
-func (v *speedReview) isDue(now time.Time) bool { return now.Sub(v.at) >= speedReviewInterval }
+func (v *speedReview) isDue(now time.Time) bool { return now.Sub(v.reviewedAt) >= speedReviewInterval }
 
-// look compares the believed speeds with those logged last.
-func (v *speedReview) look(now time.Time, speeds []backend.SpeedOf) {
-	v.at = now
+// compare compares the believed speeds with those logged last.
+func (v *speedReview) compare(now time.Time, speeds []backend.SpeedOf) {
+	v.reviewedAt = now
 	logged := 0
 	classes := make(map[string]speedClass, len(speeds))
-	for _, known := range speeds {
-		before := v.classes[known.Instance]
-		class := classOf(known.Believed.Slower(), before)
-		if class != before && logged < mostSpeedChanges {
+	for _, speed := range speeds {
+		previous := v.classes[speed.Instance]
+		class := classify(speed.Believed.Slower(), previous)
+		if class != previous && logged < maxLoggedSpeedChanges {
 			logged++
-			v.logChange(known, before, class)
+			v.logChange(speed, previous, class)
 		} else {
-			class = before // a change that found no room is logged next time
+			class = previous // a change that found no room is logged next time
 		}
-		classes[known.Instance] = class
+		classes[speed.Instance] = class
 	}
 	v.classes = classes
-	v.metrics.showSpeeds(speeds)
+	v.metrics.setSpeeds(speeds)
 }
 
 func (v *speedReview) logChange(known backend.SpeedOf, before, class speedClass) {
@@ -145,9 +145,9 @@
 		Float64("refusing", believed.Refusing).Float64("observations", believed.Weight).Int("reporters", known.Reporters).Msg("")
 }
 
-// mostOverdue is how many times longer than a sign of life is expected within a request's silence is
+// maxOverdueMultiple is how many times longer than a sign of life is expected within a request's silence is
 // counted: first when that time is over, then each time that the silence has doubled.
-const mostOverdue = 4.0
+const maxOverdueMultiple = 4.0
 
 // watchOverdue counts a request against its instance at once while it stays without a sign of life
 // for longer than expected there. The returned function ends that.
@@ -162,19 +162,19 @@
 }
 
 // overdue counts a silence that is so many times as long as a sign of life is expected within.
-func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.Sign, times float64) {
+func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.Sign, multiple float64) {
 	if ctx.Err() != nil {
 		return
 	}
 	s.metrics.overdue.Inc()
-	s.directory.Overdue(time.Now(), choice, sign, times)
-	if times < mostOverdue {
-		time.AfterFunc(time.Duration(times)*sign.Within, func() { s.overdue(ctx, choice, sign, 2*times) })
+	s.directory.Overdue(time.Now(), choice, sign, multiple)
+	if multiple < maxOverdueMultiple {
+		time.AfterFunc(time.Duration(multiple)*sign.Within, func() { s.overdue(ctx, choice, sign, 2*multiple) })
 	}
 }
 
-// addSpeeds registers the metrics of instances' speeds.
-func (m *Metrics) addSpeeds(labels prometheus.Labels) {
+// registerSpeeds registers the metrics of instances' speeds.
+func (m *Metrics) registerSpeeds(labels prometheus.Labels) {
 	m.speeds = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "swiftbank_instance_slowness", Help: "How many times as long as usual requests take at a service's instances, by rank.", ConstLabels: labels,
 	}, []string{"service", "rank"})
@@ -187,8 +187,8 @@
 	m.Registry.MustRegister(m.speeds, m.speedChanges, m.overdue)
 }
 
-// showSpeeds shows the fastest, the median and the slowest instance of each service.
-func (m *Metrics) showSpeeds(speeds []backend.SpeedOf) {
+// setSpeeds shows the fastest, the median and the slowest instance of each service.
+func (m *Metrics) setSpeeds(speeds []backend.SpeedOf) {
 	for len(speeds) > 0 {
 		service, count := speeds[0].Service, 0
 		for count < len(speeds) && speeds[count].Service == service {
--- a/internal/gateway/instancespeed_test.go
+++ b/internal/gateway/instancespeed_test.go
@@ -29,10 +29,10 @@
 }
 
 func TestABelievedSpeedKeepsItsClassNearTheBound(t *testing.T) {
-	slow := classOf(0.5, 0)
+	slow := classify(0.5, 0)
 	require.NotZero(t, slow)
-	require.Equal(t, slow, classOf(0.2, slow))
-	require.Zero(t, classOf(0.05, slow))
+	require.Equal(t, slow, classify(0.2, slow))
+	require.Zero(t, classify(0.05, slow))
 }
 
 // The bytes of the section must not grow with the number of gateways that send as often.
@@ -50,9 +50,9 @@
 	told := 0
 	for range int(time.Second / gossipInterval) {
 		now = now.Add(gossipInterval)
-		if section.own(now) != nil {
+		if section.ownFigures(now) != nil {
 			told++
 		}
 	}
-	require.InDelta(t, time.Second/(gateways*speedPause), told, 1)
+	require.InDelta(t, time.Second/(gateways*speedReportSpacing), told, 1)
 }
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -12,26 +12,26 @@
 
 // ConfigurationChanged puts a configuration in force unless a newer one is.
 func (s *Server) ConfigurationChanged(table *route.Table) {
-	present := s.table.Load()
-	if present != nil && present.Version >= table.Version {
+	current := s.table.Load()
+	if current != nil && current.Version >= table.Version {
 		return
 	}
 	s.table.Store(table)
-	s.boundIdle()
+	s.limitIdleConnections()
 	s.shares.setWeights(table.Tenants)
 	s.directory.SetColdServices(time.Now(), coldServices(table))
 	s.log.Info().Str("event", "configuration_changed").Uint64("version", table.Version).Int("routes", table.RouteCount()).
-		Dur("age", s.knowledgeAge()).Msg("")
+		Dur("age", s.stateAge()).Msg("")
 }
 
-// boundIdle shares each service's limit of connections among the gateways: those that
+// limitIdleConnections shares each service's limit of connections among the gateways: those that
 // are idle here may take half of this one's part.
-func (s *Server) boundIdle() {
+func (s *Server) limitIdleConnections() {
 	table := s.table.Load()
 	if table == nil {
 		return
 	}
-	gateways := max(1, int(s.gateways.Load()))
+	gateways := max(1, int(s.gatewayCount.Load()))
 	for name, service := range table.Services {
 		if service.ConnectionLimit > 0 {
 			s.pool.SetIdleLimit(name, max(1, service.ConnectionLimit/(2*gateways)))
@@ -39,19 +39,19 @@
 	}
 }
 
-// mostNamed bounds the instances that one log line names.
-const mostNamed = 32
+// maxLoggedInstances bounds the instances that one log line names.
+const maxLoggedInstances = 32
 
 // InstancesChanged applies changes of the list of instances. An incomplete list may lack some
 // that are there.
 func (s *Server) InstancesChanged(changes backend.Changes, incomplete bool) {
-	ended := s.directory.Change(time.Now(), changes, incomplete)
-	for _, id := range ended {
+	removed := s.directory.Change(time.Now(), changes, incomplete)
+	for _, id := range removed {
 		s.pool.Forget(id)
 	}
-	s.listedAt.Store(int64(time.Since(s.started)))
-	s.knownAt.CompareAndSwap(0, int64(time.Since(s.started)))
-	s.known.Store(true)
+	s.instancesChangedAt.Store(int64(time.Since(s.started)))
+	s.instancesKnownAt.CompareAndSwap(0, int64(time.Since(s.started)))
+	s.instancesKnown.Store(true)
 	leaving := 0
 	for _, instance := range changes.Listed {
 		if instance.Leaving {
@@ -60,7 +60,7 @@
 	}
 	s.log.Info().Str("event", "back_ends_changed").Int("instances", s.directory.Size()).Bool("all", changes.All).
 		Int("listed", len(changes.Listed)).Int("leaving", leaving).Int("unlisted", len(changes.Gone)).
-		Bool("incomplete", incomplete).Int("ended", len(ended)).Strs("gone", ended[:min(mostNamed, len(ended))]).Dur("age", s.knowledgeAge()).Msg("")
+		Bool("incomplete", incomplete).Int("ended", len(removed)).Strs("gone", removed[:min(maxLoggedInstances, len(removed))]).Dur("age", s.stateAge()).Msg("")
 }
 
 // MembersChanged replaces the product's own objects: the cells of replicas and the other
@@ -72,20 +72,20 @@
 	gossip.SetReplicas(membership.Replicas)
 	s.gossip.Store(gossip)
 	relays.SetGateways(membership.Gateways)
-	s.gateways.Store(int64(len(membership.Gateways)))
+	s.gatewayCount.Store(int64(len(membership.Gateways)))
 	s.directory.SetGateways(time.Now(), coldGateways(membership.Gateways))
-	s.boundIdle()
+	s.limitIdleConnections()
 }
 
-// listAge returns how long ago the list of instances last changed.
-func (s *Server) listAge() time.Duration {
-	return time.Since(s.started) - time.Duration(s.listedAt.Load())
+// instanceListAge returns how long ago the list of instances last changed.
+func (s *Server) instanceListAge() time.Duration {
+	return time.Since(s.started) - time.Duration(s.instancesChangedAt.Load())
 }
 
-// knowledge is what the gateway was told of the worth of what it knows.
-type knowledge struct {
-	status feed.Status
-	toldAt time.Time
+// feedStatus is what the gateway was told of the worth of what it knows.
+type feedStatus struct {
+	status    feed.Status
+	updatedAt time.Time
 	// staleSince is when the status stopped being fresh; zero while it is.
 	staleSince time.Time
 }
@@ -93,36 +93,36 @@
 // FeedStatusChanged says how fresh configuration and instances are from now on.
 func (s *Server) FeedStatusChanged(status feed.Status) {
 	now := time.Now()
-	next := &knowledge{status: status, toldAt: now}
+	next := &feedStatus{status: status, updatedAt: now}
 	if !status.Fresh() {
 		next.staleSince = now
-		if before := s.knowledge.Load(); before != nil && !before.staleSince.IsZero() {
-			next.staleSince = before.staleSince
+		if previous := s.feedStatus.Load(); previous != nil && !previous.staleSince.IsZero() {
+			next.staleSince = previous.staleSince
 		}
 	}
-	s.knowledge.Store(next)
+	s.feedStatus.Store(next)
 	s.log.Info().Str("event", "knowledge_changed").Bool("fresh", status.Fresh()).Bool("confirmed", status.Confirmed).
 		Bool("lost", status.Lost).Dur("age", status.Age).Msg("")
 }
 
-// confirmationWait is how long a gateway that starts waits for the store's own word. Then it serves by
+// confirmationTimeout is how long a gateway that starts waits for the store's own word. Then it serves by
 // the copy that a replica's disk kept, for the store may be away for long.
-const confirmationWait = 500 * time.Millisecond
+const confirmationTimeout = 500 * time.Millisecond
 
 // awaitsConfirmation reports whether what is known is a copy of which the store may tell in a moment
 // that it is old. By an old configuration callers' keys may go on to instances, and limits not hold.
 func (s *Server) awaitsConfirmation() bool {
-	known := s.knowledge.Load()
+	known := s.feedStatus.Load()
 	if known == nil || known.status.Confirmed || known.status.Lost {
 		return false
 	}
-	return time.Since(s.started)-time.Duration(s.knownAt.Load()) < confirmationWait
+	return time.Since(s.started)-time.Duration(s.instancesKnownAt.Load()) < confirmationTimeout
 }
 
-// knowledgeAge returns how old the gateway's knowledge was when it was last told, for the
+// stateAge returns how old the gateway's knowledge was when it was last told, for the
 // logs.
-func (s *Server) knowledgeAge() time.Duration {
-	known := s.knowledge.Load()
+func (s *Server) stateAge() time.Duration {
+	known := s.feedStatus.Load()
 	if known == nil {
 		return 0
 	}
@@ -131,9 +131,9 @@
 
 // configurationStale reports whether the configuration may be out of date.
 func (s *Server) configurationStale() bool {
-	known := s.knowledge.Load()
+	known := s.feedStatus.Load()
 	if known == nil || !known.status.Confirmed {
 		return true
 	}
-	return !known.staleSince.IsZero() && time.Since(known.staleSince) > configurationStaleLimit
+	return !known.staleSince.IsZero() && time.Since(known.staleSince) > maxConfigurationStaleness
 }
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -25,7 +25,7 @@
 	require.True(t, served(s))
 
 	s = started(feed.Status{})
-	s.knownAt.Add(-int64(confirmationWait))
+	s.instancesKnownAt.Add(-int64(confirmationTimeout))
 	require.True(t, served(s), "the store may be away for long")
 	require.True(t, served(started(feed.Status{Lost: true})))
 }
--- a/internal/gateway/learnedcache.go
+++ b/internal/gateway/learnedcache.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// recallInterval is the pause between two questions for what was learned before this gateway
+	// restoreInterval is the pause between two questions for what was learned before this gateway
 	// started; recallLimit is for how long it asks.
-	recallInterval = 100 * time.Millisecond
-	recallLimit    = 3 * time.Second
+	restoreInterval = 100 * time.Millisecond
+	restoreTimeout    = 3 * time.Second
 	// cacheInterval is how often a gateway that speaks for its zone tells a replica what the zone's
 	// gateways learned.
 	cacheInterval = 2 * time.Second
 )
 
-// learnedSection is a section whose figures gateways go on with after a start.
-type learnedSection interface {
+// persistentSection is a section whose figures gateways go on with after a start.
+type persistentSection interface {
 	reportSection
-	// lasting returns what the own zone's gateways learned, encoded, nil if that is nothing.
-	lasting(now time.Time) []byte
-	// recall takes what lasting returned at some gateway so long ago.
-	recall(now time.Time, age time.Duration, figures []byte)
+	// snapshot returns what the own zone's gateways learned, encoded, nil if that is nothing.
+	snapshot(now time.Time) []byte
+	// restore takes what lasting returned at some gateway so long ago.
+	restore(now time.Time, age time.Duration, figures []byte)
 }
 
 // learnedCaches are the replicas that keep what gateways learned for those that start later.
@@ -41,14 +41,16 @@
 
 	mu        sync.Mutex
 	addresses rotation
-	// knownAt is when the first replica was known.
-	knownAt time.Time
-	// asking is set until an answer came, or was waited for in vain.
-	asking bool
+	// firstReplicaAt is when the first replica was known.
+	firstReplicaAt time.Time
+	// restoring is set until an answer came, or was waited for in vain.
+	restoring bool
 }
 
 // EnableLearnedCache makes replicas keep what gateways learn. It must be called before Run.
-func (g *Gossip) EnableLearnedCache(log *log.Logger) { g.caches = &learnedCaches{log: log, asking: true} }
+func (g *Gossip) EnableLearnedCache(log *log.Logger) {
+	g.caches = &learnedCaches{log: log, restoring: true}
+}
 
 // SetReplicas tells which replicas there are. The nearest ones keep what is learned here.
 func (g *Gossip) SetReplicas(nodes map[string]replicaset.Node) {
@@ -72,76 +74,76 @@
 
 // runCaches asks what was learned before, then tells what is learned, until the context ends.
 func (g *Gossip) runCaches(ctx context.Context, socket net.PacketConn) {
-	for wait.For(ctx, g.caches.pause()) {
+	for wait.For(ctx, g.caches.interval()) {
 		now := time.Now()
 		switch {
-		case !g.caches.areKnown(now): // and nobody is asked or told
-		case g.caches.asks(now):
+		case !g.caches.hasReplicas(now): // and nobody is asked or told
+		case g.caches.shouldRestore(now):
 			g.sendLearned(socket, learned.Message{Zone: g.zone})
-		case g.speaksForZone():
-			if sections := g.lastingSections(now); len(sections) > 0 {
+		case g.isZoneReporter():
+			if sections := g.snapshotSections(now); len(sections) > 0 {
 				g.sendLearned(socket, learned.Message{Zone: g.zone, Sections: sections})
 			}
 		}
 	}
 }
 
-func (c *learnedCaches) pause() time.Duration {
+func (c *learnedCaches) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asking {
-		return recallInterval
+	if c.restoring {
+		return restoreInterval
 	}
 	return cacheInterval
 }
 
-// areKnown reports whether there are replicas.
-func (c *learnedCaches) areKnown(now time.Time) bool {
+// hasReplicas reports whether there are replicas.
+func (c *learnedCaches) hasReplicas(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addresses.addresses) == 0 {
 		return false
 	}
-	if c.knownAt.IsZero() {
-		c.knownAt = now
+	if c.firstReplicaAt.IsZero() {
+		c.firstReplicaAt = now
 	}
 	return true
 }
 
-// asks reports whether to ask what was learned before.
-func (c *learnedCaches) asks(now time.Time) bool {
+// shouldRestore reports whether to ask what was learned before.
+func (c *learnedCaches) shouldRestore(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asking && now.Sub(c.knownAt) > recallLimit {
-		c.asking = false
+	if c.restoring && now.Sub(c.firstReplicaAt) > restoreTimeout {
+		c.restoring = false
 		c.log.Info().Str("event", "learned_recalled").Bool("found", false).Msg("")
 	}
-	return c.asking
+	return c.restoring
 }
 
-// speaksForZone reports whether this gateway tells replicas what its zone learned.
-func (g *Gossip) speaksForZone() bool {
+// isZoneReporter reports whether this gateway tells replicas what its zone learned.
+func (g *Gossip) isZoneReporter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.speaks
+	return g.reportsZone
 }
 
-func (g *Gossip) lastingSections(now time.Time) map[string][]byte {
-	lasting := map[string][]byte{}
+func (g *Gossip) snapshotSections(now time.Time) map[string][]byte {
+	snapshots := map[string][]byte{}
 	for _, section := range g.sections {
-		if kept, lasts := section.(learnedSection); lasts {
-			if figures := kept.lasting(now); len(figures) > 0 {
-				lasting[section.name()] = figures
+		if persistent, ok := section.(persistentSection); ok {
+			if figures := persistent.snapshot(now); len(figures) > 0 {
+				snapshots[section.name()] = figures
 			}
 		}
 	}
-	return lasting
+	return snapshots
 }
 
 // sendLearned sends a message to the next cache.
 func (g *Gossip) sendLearned(socket net.PacketConn, message learned.Message) {
 	g.caches.mu.Lock()
-	next := g.caches.addresses.take(1)
+	next := g.caches.addresses.nextAddresses(1)
 	g.caches.mu.Unlock()
 	encoded, err := learned.Encode(message)
 	for _, cache := range next {
@@ -156,14 +158,14 @@
 	}
 }
 
-// recall hands what a cache answered to the sections, once.
-func (g *Gossip) recall(now time.Time, message learned.Message) {
+// restoreLearned hands what a cache answered to the sections, once.
+func (g *Gossip) restoreLearned(now time.Time, message learned.Message) {
 	if g.caches == nil || message.Zone != g.zone || len(message.Sections) == 0 {
 		return
 	}
 	g.caches.mu.Lock()
-	asking := g.caches.asking
-	g.caches.asking = false
+	asking := g.caches.restoring
+	g.caches.restoring = false
 	g.caches.mu.Unlock()
 	if !asking {
 		return
@@ -171,8 +173,8 @@
 	g.caches.log.Info().Str("event", "learned_recalled").Bool("found", true).Dur("age", message.Age).
 		Strs("sections", slices.Sorted(maps.Keys(message.Sections))).Msg("")
 	for _, section := range g.sections {
-		if kept, lasts := section.(learnedSection); lasts && len(message.Sections[section.name()]) > 0 {
-			kept.recall(now, message.Age, message.Sections[section.name()])
+		if persistent, ok := section.(persistentSection); ok && len(message.Sections[section.name()]) > 0 {
+			persistent.restore(now, message.Age, message.Sections[section.name()])
 		}
 	}
 }
--- a/internal/gateway/learnedcache_test.go
+++ b/internal/gateway/learnedcache_test.go
@@ -30,9 +30,9 @@
 }
 
 func (s *keptSection) name() string                                        { return "kept" }
-func (s *keptSection) own(time.Time) []byte                                { return nil }
-func (s *keptSection) zone(time.Time) []byte                               { return nil }
-func (s *keptSection) take(time.Time, tally.Source, tally.Version, []byte) {}
+func (s *keptSection) ownFigures(time.Time) []byte                                { return nil }
+func (s *keptSection) zoneFigures(time.Time) []byte                               { return nil }
+func (s *keptSection) apply(time.Time, tally.Source, tally.Version, []byte) {}
 func (s *keptSection) lasting(time.Time) []byte                            { return s.figures }
 func (s *keptSection) recall(_ time.Time, _ time.Duration, figures []byte) {
 	s.recalled <- string(figures)
@@ -87,7 +87,7 @@
 	select {
 	case figures := <-after.recalled:
 		require.Equal(t, "learned", figures)
-	case <-time.After(recallLimit):
+	case <-time.After(restoreTimeout):
 		t.Fatal("nothing was recalled")
 	}
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -93,8 +93,8 @@
 		return nil
 	}
 	part := s.programPart(r)
-	if part == quota.PartFirst && r.first {
-		if failure := s.awaitBeginning(ctx, r); failure != nil {
+	if part == quota.PartFirst && r.firstOfProgram {
+		if failure := s.awaitProgramAdmission(ctx, r); failure != nil {
 			return failure
 		}
 	}
@@ -102,7 +102,7 @@
 		return nil
 	}
 	began := time.Now()
-	defer func() { r.outcome.limitMS = sinceMS(began) }()
+	defer func() { r.outcome.limitMS = millisecondsSince(began) }()
 	ctx, cancel := context.WithTimeout(ctx, min(limitTimeout, time.Until(r.deadline)/limitDivisor))
 	defer cancel()
 	failure := s.borrow(ctx, r, part)
@@ -166,7 +166,7 @@
 	if part == quota.PartLater {
 		s.allowances.short(r.tenant.Name)
 	}
-	s.metrics.beyondLimit(part, lent.Held)
+	s.metrics.countLimitRefusal(part, lent.Held)
 	s.log.Info().Str("event", "limit_reached").Str("id", r.id).Str("tenant", r.tenant.Name).Str("lender", r.outcome.lender).
 		Float64("limit_per_s", limit.PerSecond).Float64("limit_burst", limit.Burst).Dur("wait", lent.Wait).
 		Str("part", part.String()).Bool("held", lent.Held).Int("credit", lent.Forecast.Credit).Int("begun", lent.Forecast.Begun).Int("unused", lent.Forecast.Unused).
--- a/internal/gateway/limitparts.go
+++ b/internal/gateway/limitparts.go
@@ -18,16 +18,16 @@
 	switch {
 	case !s.options.LoadControl || !s.options.LimitSetAside:
 		return quota.PartUntold
-	case r.first || r.header.Get(s.dialect.Program) == "":
+	case r.firstOfProgram || r.header.Get(s.dialect.Program) == "":
 		return quota.PartFirst
 	default:
 		return quota.PartLater
 	}
 }
 
-// awaitBeginning holds a new program until there is room for it, or refuses it: one that may not
+// awaitProgramAdmission holds a new program until there is room for it, or refuses it: one that may not
 // begin must not use up its tenant's limit, nor teach that programs are short.
-func (s *Server) awaitBeginning(ctx context.Context, r *request) *refusal {
+func (s *Server) awaitProgramAdmission(ctx context.Context, r *request) *refusal {
 	for !s.mayBegin(r) {
 		if !s.holdProgram(ctx, r) {
 			last := &backend.Failure{Verdict: verdict.NotRun, Reason: "the time was over before the program could begin"}
@@ -37,16 +37,16 @@
 	return nil
 }
 
-// addLimits registers the metrics of tenants' limits.
-func (m *Metrics) addLimits(labels prometheus.Labels) {
-	m.beyond = prometheus.NewCounterVec(prometheus.CounterOpts{
+// registerLimits registers the metrics of tenants' limits.
+func (m *Metrics) registerLimits(labels prometheus.Labels) {
+	m.limitRefusals = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "swiftbank_limit_refusals_total", ConstLabels: labels,
 		Help: "Requests refused by their tenant's limit, by the part of a program and whether credit was set aside for begun ones.",
 	}, []string{"part", "held"})
-	m.Registry.MustRegister(m.beyond)
+	m.Registry.MustRegister(m.limitRefusals)
 }
 
-// beyondLimit counts a request refused by its tenant's limit.
-func (m *Metrics) beyondLimit(part quota.Part, held bool) {
-	m.beyond.WithLabelValues(part.String(), strconv.FormatBool(held)).Inc()
+// countLimitRefusal counts a request refused by its tenant's limit.
+func (m *Metrics) countLimitRefusal(part quota.Part, held bool) {
+	m.limitRefusals.WithLabelValues(part.String(), strconv.FormatBool(held)).Inc()
 }
--- a/internal/gateway/limitparts_test.go
+++ b/internal/gateway/limitparts_test.go
@@ -18,7 +18,7 @@
 func TestWhichPartOfAProgramARequestIs(t *testing.T) {
 	s := &Server{dialect: Dialect{Program: "X-Program"}, options: Options{LoadControl: true, LimitSetAside: true}}
 	of := func(program string, first bool) quota.Part {
-		return s.programPart(&request{header: http.Header{"X-Program": {program}}, first: first})
+		return s.programPart(&request{header: http.Header{"X-Program": {program}}, firstOfProgram: first})
 	}
 	require.Equal(t, quota.PartFirst, of("p", true))
 	require.Equal(t, quota.PartLater, of("p", false), "also a call of a tool")
@@ -36,7 +36,7 @@
 	s.options.LoadControl, s.options.LimitSetAside, s.options.ProgramAdmission = true, true, true
 	now = time.Now()
 	r = &request{
-		id: "r", first: true, arrived: now, deadline: now.Add(time.Second), table: s.table.Load(), route: &route.Route{Name: "call"},
+		id: "r", firstOfProgram: true, arrived: now, deadline: now.Add(time.Second), table: s.table.Load(), route: &route.Route{Name: "call"},
 		service: route.Service{Name: "apps", Generates: true}, header: http.Header{"X-Test-Program": {"p"}},
 		tenant: &tenant.Tenant{Name: "t", Limit: tenant.Limit{PerSecond: 1}},
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -39,8 +39,8 @@
 	memoryBound *prometheus.CounterVec
 	// missing counts the prompt tokens that instances were believed to have to read.
 	missing prometheus.Counter
-	// beyond counts requests refused by their tenant's limit.
-	beyond *prometheus.CounterVec
+	// limitRefusals counts requests refused by their tenant's limit.
+	limitRefusals *prometheus.CounterVec
 }
 
 // NewMetrics registers a gateway's metrics.
@@ -89,9 +89,9 @@
 	m.budgets.WithLabelValues(askedEveryRegion, quorum.Granted.String())
 	m.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{Name: "swiftbank_evacuated_zones", Help: "Zones whose instances get nothing further.", ConstLabels: labels})
 	m.Registry.MustRegister(m.evacuated, m.feedAge, m.feedReading, m.requests, m.latency, m.reserve, m.commit, m.connections, m.sends, m.relayed, m.store)
-	m.addCold(labels)
-	m.addSpeeds(labels)
-	m.addLimits(labels)
+	m.registerCold(labels)
+	m.registerSpeeds(labels)
+	m.registerLimits(labels)
 	return m
 }
 
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -75,7 +75,7 @@
 
 // admits reports whether the request may ask instances now.
 func (s *Server) admits(r *request) bool {
-	return !r.first || s.overload.admits(r.service.Name, s.overloadRequest(r), s.capacity(time.Now(), r)) && s.mayBegin(r)
+	return !r.firstOfProgram || s.overload.admits(r.service.Name, s.overloadRequest(r), s.capacity(time.Now(), r)) && s.mayBegin(r)
 }
 
 // capacity returns what is believed of the request's service.
@@ -87,8 +87,8 @@
 func (s *Server) overloadRequest(r *request) overload.Request {
 	request := overload.Request{
 		ID:            r.id,
-		First:         r.first && r.route.Objective > 0,
-		Begun:         !r.first && r.header.Get(s.dialect.Program) != "",
+		First:         r.firstOfProgram && r.route.Objective > 0,
+		Begun:         !r.firstOfProgram && r.header.Get(s.dialect.Program) != "",
 		Arrived:       r.arrived,
 		Deadline:      r.deadline,
 		Objective:     r.arrived.Add(r.route.Objective),
@@ -112,5 +112,5 @@
 		Int("waiting", decision.Waiting).Int("rank", decision.Rank).Int("looks", r.polls).
 		Float64("chance", decision.Chance).Dur("expected", decision.Expected).Dur("left", decision.Left).
 		Dur("retry_after", decision.RetryAfter).Int64("age_ms", now.Sub(r.arrived).Milliseconds()).
-		Int64("list_age_ms", s.listAge().Milliseconds()).Float64("excess", r.outcome.excess).Msg("")
+		Int64("list_age_ms", s.instanceListAge().Milliseconds()).Float64("excess", r.outcome.tenantExcess).Msg("")
 }
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -64,7 +64,7 @@
 	s := gatewayOf(t)
 	notRun := &backend.Failure{Verdict: verdict.NotRun}
 	for decided, told := range map[time.Duration]time.Duration{
-		0: leastFullRetry, leastFullRetry + time.Millisecond: leastFullRetry + time.Millisecond, 777 * time.Millisecond: 777 * time.Millisecond,
+		0: minOverloadRetry, minOverloadRetry + time.Millisecond: minOverloadRetry + time.Millisecond, 777 * time.Millisecond: 777 * time.Millisecond,
 	} {
 		r := &request{retryAfter: decided, deadline: time.Now().Add(time.Hour)}
 		require.Equal(t, told, s.failed(t.Context(), r, notRun, false).retryAfter)
@@ -92,7 +92,7 @@
 			arrived: now.Add(left - time.Second), deadline: now.Add(left),
 		}
 		r.service.Name = "apps"
-		sent, failure := s.sendUntilTaken(t.Context(), r, backend.Demand{Service: "apps"})
+		sent, failure := s.sendUntilAccepted(t.Context(), r, backend.Demand{Service: "apps"})
 		require.Nil(t, sent)
 		require.Equal(t, verdict.NotRun, failure.Verdict)
 		require.Zero(t, asked.Load(), "%s of a second left", left)
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -66,24 +66,24 @@
 	s.evacuationsKnown.Store(true)
 	s.metrics.evacuated.Set(float64(len(zones)))
 	s.log.Info().Str("event", "evacuations_changed").Strs("zones", zones).Strs("returned", returned).
-		Int("running", s.directory.EvacuatedInFlight()).Dur("age", s.knowledgeAge()).Msg("")
+		Int("running", s.directory.EvacuatedInFlight()).Dur("age", s.stateAge()).Msg("")
 }
 
 // isInformed reports whether enough is known to place requests. It logs once when the list of
 // evacuated zones is overdue, and then does without.
 func (s *Server) isInformed() bool {
-	if !s.known.Load() || s.awaitsConfirmation() {
+	if !s.instancesKnown.Load() || s.awaitsConfirmation() {
 		return false
 	}
 	if !s.options.Evacuations || s.evacuationsKnown.Load() {
 		return true
 	}
-	waited := time.Since(s.started) - time.Duration(s.knownAt.Load())
+	waited := time.Since(s.started) - time.Duration(s.instancesKnownAt.Load())
 	if waited < evacuationsWait {
 		return false
 	}
 	if !s.evacuationsKnown.Swap(true) {
-		s.log.Warn().Str("event", "evacuations_unknown").Dur("waited", waited).Dur("age", s.knowledgeAge()).Msg("")
+		s.log.Warn().Str("event", "evacuations_unknown").Dur("waited", waited).Dur("age", s.stateAge()).Msg("")
 	}
 	return true
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -19,15 +19,15 @@
 // largestAnswer bounds what is kept of an answer before it is passed on.
 const largestAnswer = 64 << 20
 
-// plain serves a request with one answer.
-func (s *Server) plain(ctx context.Context, w http.ResponseWriter, r *request) {
+// servePlain serves a request with one answer.
+func (s *Server) servePlain(ctx context.Context, w http.ResponseWriter, r *request) {
 	if failure := s.withinLimit(ctx, r); failure != nil {
 		s.refuse(w, r, failure)
 		return
 	}
 	demand := backend.Demand{Service: r.service.Name, Homes: r.homes(), Priority: r.route.Priority, ByExpectedEnd: s.placesByExpectedEnd(r)}
 	for runs := 0; ; {
-		sent, failure := s.sendUntilTaken(ctx, r, demand)
+		sent, failure := s.sendUntilAccepted(ctx, r, demand)
 		if failure == nil {
 			failure = s.passAnswer(w, r, sent)
 			if failure == nil {
@@ -55,11 +55,11 @@
 	case !ran && failure.Bar != backend.NotBarred:
 		return refuseBarred(failure.Bar)
 	case !ran && failure.Verdict == verdict.NotRun:
-		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, leastFullRetry)), failure.Reason)
+		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, minOverloadRetry)), failure.Reason)
 	case late:
-		return uncertain(http.StatusGatewayTimeout, failure.Reason)
+		return refuseOutcomeUnknown(http.StatusGatewayTimeout, failure.Reason)
 	default:
-		return uncertain(http.StatusBadGateway, failure.Reason)
+		return refuseOutcomeUnknown(http.StatusBadGateway, failure.Reason)
 	}
 }
 
@@ -68,19 +68,19 @@
 func (s *Server) passAnswer(w http.ResponseWriter, r *request, sent *attempt) *backend.Failure {
 	defer sent.release()
 	answer := sent.answer
-	body, err := io.ReadAll(growingReader{source: io.LimitReader(answer.Body(), largestAnswer), held: r.held, copies: 1})
+	body, err := io.ReadAll(accountingReader{source: io.LimitReader(answer.Body(), largestAnswer), held: r.held, copies: 1})
 	var full *memoryError
 	if errors.As(err, &full) {
 		answer.Discard()
 		s.directory.End(time.Now(), sent.choice, backend.Answered)
-		s.logHeld(r, full.bound, true)
+		s.logMemoryBound(r, full.bound, true)
 		return &backend.Failure{Verdict: verdict.Ran, Reason: full.Error()}
 	}
 	if err != nil {
 		answer.Discard()
 		s.directory.EndFailed(time.Now(), sent.choice, backend.Failed)
 		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer broke off: " + err.Error()}
-		s.logSend(r, sent.choice, failure)
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	answer.Finish()
@@ -89,14 +89,14 @@
 	if response.StatusCode/100 == 2 {
 		s.observe(r, sent, time.Time{}, 0)
 	}
-	if response.StatusCode >= http.StatusInternalServerError && s.mayTryAgain(r) {
+	if response.StatusCode >= http.StatusInternalServerError && s.mayRetry(r) {
 		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the instance answered " + strconv.Itoa(response.StatusCode)}
-		s.logSend(r, sent.choice, failure)
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	if response.StatusCode/100 == 2 && response.Header.Get(s.dialect.Signature) == "" {
 		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer has no signature"}
-		s.logSend(r, sent.choice, failure)
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	copyHeader(w.Header(), response.Header)
@@ -115,7 +115,7 @@
 // that is cut off.
 func (s *Server) writeWhole(w http.ResponseWriter, r *request, body []byte) {
 	for piece := range slices.Chunk(body, writePiece) {
-		s.awaitReader(w, r)
+		s.extendWriteDeadline(w, r)
 		if _, err := w.Write(piece); err != nil {
 			r.outcome.reason = s.writeFailure(err)
 			return
@@ -126,7 +126,7 @@
 // writeFailure says why an answer could not be written to its caller.
 func (s *Server) writeFailure(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return "the caller read nothing for " + s.unreadLimit.String()
+		return "the caller read nothing for " + s.unreadTimeout.String()
 	}
 	return "the caller left"
 }
@@ -142,7 +142,7 @@
 		seen.First = firstAt.Sub(sent.sentAt)
 	}
 	s.directory.Observe(now, sent.choice, seen)
-	s.tenantServed(now, r, seen.Took)
+	s.recordTenantService(now, r, seen.Took)
 	s.programTurnEnded(now, r, seen.Took)
 }
 
@@ -154,14 +154,14 @@
 	return backend.Answered
 }
 
-// mayTryAgain reports whether the request may go to another instance after a run.
-func (s *Server) mayTryAgain(r *request) bool {
-	return r.route.Kind == route.Safe && r.outcome.sends < r.route.Attempts && time.Until(r.deadline) > answerTimeoutLeast
+// mayRetry reports whether the request may go to another instance after a run.
+func (s *Server) mayRetry(r *request) bool {
+	return r.route.Kind == route.Safe && r.outcome.sends < r.route.Attempts && time.Until(r.deadline) > minAnswerTimeout
 }
 
 // copyHeader passes an answer's headers on. The absence of a content type is kept.
 func copyHeader(to, from http.Header) {
-	for name, values := range passable(from) {
+	for name, values := range forwardableHeaders(from) {
 		to[name] = values
 	}
 	if _, named := to["Content-Type"]; !named {
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -40,10 +40,10 @@
 // programLeft returns how much time the request's program has, 0 if it names none. One whose time
 // is over at this moment is late.
 func (r *request) programLeft(now time.Time) time.Duration {
-	if r.programEnds.IsZero() {
+	if r.programDeadline.IsZero() {
 		return 0
 	}
-	return cmp.Or(r.programEnds.Sub(now), -1)
+	return cmp.Or(r.programDeadline.Sub(now), -1)
 }
 
 // programKind returns the kind of the request's program.
@@ -106,7 +106,7 @@
 
 // programBegan notes that an instance took a program's first request.
 func (s *Server) programBegan(r *request) {
-	if !r.first || !s.decidesPrograms(r) {
+	if !r.firstOfProgram || !s.decidesPrograms(r) {
 		return
 	}
 	now := time.Now()
@@ -125,7 +125,7 @@
 		return
 	}
 	turn := admission.Turn{
-		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), First: r.first, Took: took,
+		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), First: r.firstOfProgram, Took: took,
 		Share: s.shareInUse(now, r.service.Name),
 	}
 	s.programs.mu.Lock()
@@ -143,7 +143,7 @@
 // whose program's other turns are charged is no first one.
 func (s *Server) noteLostTurn(r *request) {
 	lost := r.outcome.result != "answered" && (r.outcome.status == http.StatusOK || r.outcome.status >= http.StatusTooManyRequests)
-	if !lost || r.outcome.others == 0 || !s.decidesPrograms(r) {
+	if !lost || r.outcome.otherCharges == 0 || !s.decidesPrograms(r) {
 		return
 	}
 	s.programs.mu.Lock()
@@ -166,7 +166,7 @@
 		Float64("stretch", decision.Program.Stretch).Float64("factor", decision.Factor).
 		Float64("chance", decision.Chance).Bool("known", decision.Known).Bool("hopeless", decision.Hopeless).Int("sources", decision.Sources).Dur("wait", decision.Wait).
 		Int64("program_left_ms", r.programLeftMS()).Int64("age_ms", time.Since(r.arrived).Milliseconds()).
-		Int64("list_age_ms", s.listAge().Milliseconds()).Float64("excess", r.outcome.excess).Msg("")
+		Int64("list_age_ms", s.instanceListAge().Milliseconds()).Float64("excess", r.outcome.tenantExcess).Msg("")
 }
 
 // ProgramSection returns the part of the load reports that tells of programs under way.
@@ -180,11 +180,11 @@
 
 func (p *programSection) name() string { return "programs" }
 
-func (p *programSection) own(now time.Time) []byte {
+func (p *programSection) ownFigures(now time.Time) []byte {
 	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.Figures(now) })
 }
 
-func (p *programSection) zone(now time.Time) []byte {
+func (p *programSection) zoneFigures(now time.Time) []byte {
 	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.ZoneFigures(now) })
 }
 
@@ -199,7 +199,7 @@
 	return encoded
 }
 
-func (p *programSection) take(now time.Time, source tally.Source, version tally.Version, encoded []byte) {
+func (p *programSection) apply(now time.Time, source tally.Source, version tally.Version, encoded []byte) {
 	if !p.versions.isNewer(source, version) {
 		return
 	}
--- a/internal/gateway/programs_test.go
+++ b/internal/gateway/programs_test.go
@@ -29,7 +29,7 @@
 	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Slots: 2}}}, false)
 	now := time.Now()
 	r := &request{
-		id: "r", arrived: now, deadline: now.Add(3 * time.Second), first: true, route: served, table: s.table.Load(), service: llm,
+		id: "r", arrived: now, deadline: now.Add(3 * time.Second), firstOfProgram: true, route: served, table: s.table.Load(), service: llm,
 		header: http.Header{"X-Test-Program": {"p"}},
 	}
 	for i := range 100 {
@@ -61,7 +61,7 @@
 
 func TestProgramsThatHaveBegunAndOtherDeploymentsAreNotHeld(t *testing.T) {
 	for name, change := range map[string]func(*Server, *request){
-		"begun":              func(_ *Server, r *request) { r.first = false },
+		"begun":              func(_ *Server, r *request) { r.firstOfProgram = false },
 		"no program":         func(s *Server, r *request) { r.header.Del(s.dialect.Program) },
 		"switched off":       func(s *Server, _ *request) { s.options.ProgramAdmission = false },
 		"no load control":    func(s *Server, _ *request) { s.options.LoadControl = false },
@@ -82,8 +82,8 @@
 	now := time.Now()
 	said, heard := one.ProgramSection(), other.ProgramSection()
 	source, version := tally.Source{Gateway: "one"}, tally.Version{Started: 1, Number: 2}
-	heard.take(now, source, version, said.own(now))
-	heard.take(now, source, tally.Version{Started: 1, Number: 1}, said.own(now.Add(time.Hour))) // overtaken
+	heard.apply(now, source, version, said.ownFigures(now))
+	heard.apply(now, source, tally.Version{Started: 1, Number: 1}, said.ownFigures(now.Add(time.Hour))) // overtaken
 	decision := other.programs.controller.Decide(now, admission.Request{ID: "x", Kind: r.programKind()}, admission.Load{Slots: 2})
 	require.True(t, decision.Known)
 	require.Equal(t, 1, decision.Sources)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -17,11 +17,11 @@
 	id       string
 	arrived  time.Time
 	deadline time.Time
-	// programEnds is when the request's program should be over; zero for requests of none.
-	programEnds time.Time
-	route       *route.Route
-	table       *route.Table
-	service     route.Service
+	// programDeadline is when the request's program should be over; zero for requests of none.
+	programDeadline time.Time
+	route           *route.Route
+	table           *route.Table
+	service         route.Service
 	// tenant is whose request it is; nil on public routes and where there are no tenants.
 	tenant *tenant.Tenant
 	// keyFingerprint is what the log shows of the caller's key.
@@ -35,8 +35,8 @@
 	held *holding
 	// lostAnswer is set once an instance may have run it and gave no whole answer.
 	lostAnswer bool
-	// first says that it is the first request of a program.
-	first bool
+	// firstOfProgram says that it is the firstOfProgram request of a program.
+	firstOfProgram bool
 	// polls counts the polls that found no slot.
 	polls int
 	// admission is what was last decided about the beginning of its program, for first requests.
@@ -53,17 +53,17 @@
 	result   string
 	reason   string
 	instance string
-	// born is when the instance started, in Unix milliseconds; 0 where it does not say.
-	born  uint64
-	sends int
-	load  int
-	cost  float64
+	// instanceStarted is when the instance started, in Unix milliseconds; 0 where it does not say.
+	instanceStarted uint64
+	sends           int
+	load            int
+	cost            float64
 	// expectedLoad is load as far as reports of the age reportsAgeMS let it be told.
 	expectedLoad float64
 	reportsAgeMS int64
-	// missing is how many prompt tokens the instance was believed to have to read.
-	missing    int
-	candidates int
+	// missingTokens is how many prompt tokens the instance was believed to have to read.
+	missingTokens int
+	candidates    int
 	// lender was asked last for an allowance of the tenant's; limitMS is how long that took.
 	lender    string
 	limitMS   float64
@@ -71,35 +71,35 @@
 	firstMS   float64
 	commitMS  float64
 	events    int
-	// excess is how far above its fair share the tenant of a new program was.
-	excess float64
-	// others is what the program's other turns were charged, epoch the replica set's.
-	others int64
-	epoch  uint64
-	// everywhere is set when all regions were asked on the program's budget.
-	everywhere bool
+	// tenantExcess is how far above its fair share the tenant of a new program was.
+	tenantExcess float64
+	// otherCharges is what the program's other turns were charged, epoch the replica set's.
+	otherCharges int64
+	epoch        uint64
+	// askedAllRegions is set when all regions were asked on the program's budget.
+	askedAllRegions bool
 }
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only and are not passed on.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// passable returns the headers that go on to the next hop.
-func passable(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+// forwardableHeaders returns the headers that go on to the next hop.
+func forwardableHeaders(header http.Header) http.Header {
+	forwardable := make(http.Header, len(header))
 	for name, values := range header {
-		passed[name] = values
+		forwardable[name] = values
 	}
 	for value := range strings.SplitSeq(header.Get("Connection"), ",") {
 		if name := strings.TrimSpace(value); name != "" {
-			passed.Del(name)
+			forwardable.Del(name)
 		}
 	}
-	for _, name := range hopHeaders {
-		delete(passed, name)
+	for _, name := range hopByHopHeaders {
+		delete(forwardable, name)
 	}
-	return passed
+	return forwardable
 }
 
 // milliseconds reads a header of that unit; ok is false when it is absent or bad.
@@ -111,10 +111,10 @@
 	return time.Duration(value * float64(time.Millisecond)), true
 }
 
-// mostTokens returns the most that the request may generate.
-func mostTokens(header http.Header, name string) int64 {
-	_, most, _ := strings.Cut(header.Get(name), ",")
-	value, _ := strconv.ParseInt(strings.TrimSpace(most), 10, 64)
+// maxTokens returns the most that the request may generate.
+func maxTokens(header http.Header, name string) int64 {
+	_, limit, _ := strings.Cut(header.Get(name), ",")
+	value, _ := strconv.ParseInt(strings.TrimSpace(limit), 10, 64)
 	return value
 }
 
@@ -136,25 +136,25 @@
 
 // The priorities that engines are told; 0 is the most urgent.
 //
-// usualPriority is given to requests of whatever tenant and route: an engine pushes running
+// defaultPriority is given to requests of whatever tenant and route: an engine pushes running
 // requests out for more urgent ones and reads their prompts again from the start, which costs
 // more than the order gains.
 //
 // latePriority is given to turns of programs whose time is over: they are late whatever happens,
 // and would make others late that can still end in time.
 const (
-	usualPriority = "5"
-	latePriority  = "6"
+	defaultPriority = "5"
+	latePriority    = "6"
 )
 
-// passedToInstances returns the caller's headers that go on to an instance. Whose request it
+// instanceHeader returns the caller's headers that go on to an instance. Whose request it
 // is, what engines are to reserve and how urgent a request is are the product's to say; the
 // caller's words on it do not pass, and neither does its key.
 //
 // Weighed: a list of the headers that may pass. Callers and instances agree on headers that
 // the product does not know, and those must arrive.
-func (s *Server) passedToInstances(r *request) http.Header {
-	header := passable(r.header)
+func (s *Server) instanceHeader(r *request) http.Header {
+	header := forwardableHeaders(r.header)
 	for _, name := range s.dialect.EngineControlHeaders {
 		delete(header, name)
 	}
@@ -177,9 +177,9 @@
 	return r.tenant.Name
 }
 
-// call returns the request as it goes to an instance, with the time that remains.
-func (s *Server) call(r *request, instance backend.Instance) backend.Call {
-	header := s.passedToInstances(r)
+// instanceCall returns the request as it goes to an instance, with the time that remains.
+func (s *Server) instanceCall(r *request, instance backend.Instance) backend.Call {
+	header := s.instanceHeader(r)
 	remaining := max(1, time.Until(r.deadline).Milliseconds())
 	header[s.dialect.Deadline] = []string{strconv.FormatInt(remaining, 10)}
 	header[s.dialect.ExpectedInstance] = []string{instance.ID}
@@ -191,32 +191,32 @@
 	}
 }
 
-// setProgramEnd reads until when the request's program should be over. The time left is negative
+// setProgramDeadline reads until when the request's program should be over. The time left is negative
 // once that is past.
-func (r *request) setProgramEnd(header string) {
+func (r *request) setProgramDeadline(header string) {
 	left, err := strconv.ParseFloat(strings.TrimSpace(r.header.Get(header)), 64)
 	if err == nil {
-		r.programEnds = r.arrived.Add(time.Duration(left * float64(time.Millisecond)))
+		r.programDeadline = r.arrived.Add(time.Duration(left * float64(time.Millisecond)))
 	}
 }
 
-// programLate reports whether the request's program cannot end in time any more.
-func (r *request) programLate(now time.Time) bool {
-	return !r.programEnds.IsZero() && !now.Before(r.programEnds)
+// programIsLate reports whether the request's program cannot end in time any more.
+func (r *request) programIsLate(now time.Time) bool {
+	return !r.programDeadline.IsZero() && !now.Before(r.programDeadline)
 }
 
 // enginePriority returns how urgent the request is at an engine.
 func (r *request) enginePriority(now time.Time) string {
-	if r.programLate(now) {
+	if r.programIsLate(now) {
 		return latePriority
 	}
-	return usualPriority
+	return defaultPriority
 }
 
 // programLeftMS returns how much time the program has left for the log, 0 for requests of none.
 func (r *request) programLeftMS() int64 {
-	if r.programEnds.IsZero() {
+	if r.programDeadline.IsZero() {
 		return 0
 	}
-	return r.programEnds.Sub(r.arrived).Milliseconds()
+	return r.programDeadline.Sub(r.arrived).Milliseconds()
 }
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -12,14 +12,14 @@
 func TestTurnsOfLateProgramsComeAfterOthers(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for left, expected := range map[string]string{
-		"": usualPriority, "soon": usualPriority, "1500": usualPriority, "0.5": usualPriority, "0": latePriority, "-20": latePriority,
+		"": defaultPriority, "soon": defaultPriority, "1500": defaultPriority, "0.5": defaultPriority, "0": latePriority, "-20": latePriority,
 	} {
 		r := &request{arrived: arrived, header: http.Header{"Left": {left}}}
-		r.setProgramEnd("Left")
+		r.setProgramDeadline("Left")
 		require.Equal(t, expected, r.enginePriority(arrived), left)
 	}
 	r := &request{arrived: arrived, header: http.Header{"Left": {"1500"}}}
-	r.setProgramEnd("Left")
+	r.setProgramDeadline("Left")
 	require.Equal(t, int64(1500), r.programLeftMS())
 	require.Equal(t, latePriority, r.enginePriority(arrived.Add(1500*time.Millisecond)), "it waited until its time was over")
 }
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -31,20 +31,20 @@
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known where the turn may be kept")
 	}
 	if s.isolated() {
-		return refuseFor(verdict.CodeUnavailable, elsewhereRetry, "this gateway reaches neither replicas nor other gateways")
+		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "this gateway reaches neither replicas nor other gateways")
 	}
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	asked := ledger.Reserve{
-		Program: t.program, Charge: ledger.Charge{Turn: t.id, Tokens: t.most},
+		Program: t.program, Charge: ledger.Charge{Turn: t.id, Tokens: t.maxTokens},
 		Retention: t.route.Retention, History: t.previous, Tenant: t.tenantName(),
 	}
 	failure := s.reserveHistory(ctx, t, asked)
 	if failure == nil && t.program != "" {
 		failure = s.reserveBudget(ctx, t, asked)
 	}
-	t.outcome.reserveMS = sinceMS(began)
+	t.outcome.reserveMS = millisecondsSince(began)
 	s.metrics.reserve.Observe(time.Since(began).Seconds())
 	if failure != nil {
 		s.settle(t)
@@ -62,12 +62,12 @@
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered")
 	}
 	t.reservation = reservation
-	t.outcome.others = reservation.Others
+	t.outcome.otherCharges = reservation.Others
 	t.outcome.epoch = t.cell.Epoch()
 	if t.previous != "" && !reservation.Found && !reservation.Foreign {
 		t.ancestors = s.replicas.ChainElsewhere(ctx, t.header.Get(s.dialect.Program), t.previous, t.homes())
 	}
-	if t.continuesForeign() {
+	if t.continuesOtherTenant() {
 		return &refusal{status: http.StatusNotFound, code: verdict.CodeNotFound, reason: "the previous turn is another tenant's"}
 	}
 	if t.previous != "" && !reservation.Found && len(t.ancestors) == 0 {
@@ -95,7 +95,7 @@
 		return t.cell.Reserve(ctx, asked)
 	}
 	s.log.Info().Str("event", "turn_kept_elsewhere").Str("id", t.id).Str("program", program).AnErr("error", err).Msg("")
-	t.cell, t.everywhere = other, true // the charge may be recorded in the first cell
+	t.cell, t.reservedElsewhere = other, true // the charge may be recorded in the first cell
 	return t.cell.Reserve(ctx, asked)
 }
 
@@ -103,17 +103,17 @@
 // alone, or by the charges of all regions.
 func (s *Server) reserveBudget(ctx context.Context, t *turn, asked ledger.Reserve) *refusal {
 	budget, _ := strconv.ParseInt(t.header.Get(s.dialect.TokenBudget), 10, 64)
-	escrow := quorum.Escrow{Budget: budget, Most: t.most, Regions: len(s.replicas.OfAllRegions(t.program))}
+	escrow := quorum.Escrow{Budget: budget, Most: t.maxTokens, Regions: len(s.replicas.OfAllRegions(t.program))}
 	grant := escrow.InOwnRegion(t.reservation.Others)
 	if grant == quorum.AskEveryRegion {
-		t.everywhere, t.outcome.everywhere = true, true
+		t.reservedElsewhere, t.outcome.askedAllRegions = true, true
 		if err := s.replicas.ReserveElsewhere(ctx, t.reservation, asked); err != nil {
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas of other regions answered on the program's budget")
 		}
-		t.outcome.others = t.reservation.Others
+		t.outcome.otherCharges = t.reservation.Others
 		grant = escrow.InEveryRegion(t.reservation.Others)
 	}
-	s.metrics.escrow(grant, t.outcome.everywhere)
+	s.metrics.escrow(grant, t.outcome.askedAllRegions)
 	if grant == quorum.Exhausted {
 		return &refusal{status: http.StatusPaymentRequired, code: verdict.CodeBudgetExhausted, reason: "the program's budget holds no further turn"}
 	}
@@ -131,7 +131,7 @@
 
 // settleElsewhere replaces the reservations in other regions, if there are any.
 func (s *Server) settleElsewhere(t *turn) {
-	if t.everywhere {
+	if t.reservedElsewhere {
 		s.replicas.SettleElsewhere(t.cell, ledger.Commit{Program: t.program, Charge: t.finalCharge(), Retention: t.route.Retention})
 	}
 }
--- a/internal/gateway/sections.go
+++ b/internal/gateway/sections.go
@@ -14,13 +14,13 @@
 type reportSection interface {
 	// name is its key in the reports.
 	name() string
-	// own returns this gateway's figures, encoded, and zone those of the own zone's gateways
+	// ownFigures returns this gateway's figures, encoded, and zone those of the ownFigures zone's gateways
 	// together; nil leaves the section out.
-	own(now time.Time) []byte
-	zone(now time.Time) []byte
-	// take applies what a source reported, unless it is older than what that source said
+	ownFigures(now time.Time) []byte
+	zoneFigures(now time.Time) []byte
+	// apply applies what a source reported, unless it is older than what that source said
 	// before.
-	take(now time.Time, source tally.Source, version tally.Version, figures []byte)
+	apply(now time.Time, source tally.Source, version tally.Version, figures []byte)
 }
 
 // AddSection adds a section to the load reports. It must be called before Run.
@@ -30,31 +30,31 @@
 
 // ownSections and zoneSections return what the sections tell in a report.
 func (g *Gossip) ownSections(now time.Time) map[string][]byte {
-	return g.encodeSections(func(section reportSection) []byte { return section.own(now) })
+	return g.encodeSections(func(section reportSection) []byte { return section.ownFigures(now) })
 }
 
 func (g *Gossip) zoneSections(now time.Time) map[string][]byte {
-	return g.encodeSections(func(section reportSection) []byte { return section.zone(now) })
+	return g.encodeSections(func(section reportSection) []byte { return section.zoneFigures(now) })
 }
 
 func (g *Gossip) encodeSections(figures func(reportSection) []byte) map[string][]byte {
 	var encoded map[string][]byte
 	for _, section := range g.sections {
-		told := figures(section)
-		if len(told) == 0 {
+		sectionFigures := figures(section)
+		if len(sectionFigures) == 0 {
 			continue
 		}
 		if encoded == nil {
 			encoded = map[string][]byte{}
 		}
-		encoded[section.name()] = told
+		encoded[section.name()] = sectionFigures
 	}
 	return encoded
 }
 
-// takeSections hands the figures of a report to its sections. A report of the own zone by
+// applySections hands the figures of a report to its sections. A report of the own zone by
 // another gateway of it holds what is known here already.
-func (g *Gossip) takeSections(now time.Time, report loadReport) {
+func (g *Gossip) applySections(now time.Time, report loadReport) {
 	source := tally.Source{Gateway: report.Gateway}
 	switch report.Zone {
 	case "":
@@ -65,7 +65,7 @@
 	}
 	for _, section := range g.sections {
 		if figures := report.Sections[section.name()]; figures != nil {
-			section.take(now, source, report.Version, figures)
+			section.apply(now, source, report.Version, figures)
 		}
 	}
 }
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -17,8 +17,8 @@
 	// maxRefusals is how many instances that refuse a request are asked in a row
 	// before the request waits or is refused.
 	maxRefusals = 3
-	// answerTimeoutLeast is how long an instance may always take to begin its answer.
-	answerTimeoutLeast = 100 * time.Millisecond
+	// minAnswerTimeout is how long an instance may always take to begin its answer.
+	minAnswerTimeout = 100 * time.Millisecond
 )
 
 // attempt is one send to an instance.
@@ -31,42 +31,42 @@
 	events       int
 	// watch ends a stream whose instance's machine is gone; nil for other requests.
 	watch *livenessWatch
-	// signSeen ends the watch for requests that are overdue.
-	signSeen func()
+	// stopOverdueWatch ends the watch for requests that are overdue.
+	stopOverdueWatch func()
 	// release frees what the attempt holds besides the answer.
 	release context.CancelFunc
 }
 
-// sawEvent notes an event of a stream.
-func (a *attempt) sawEvent() {
+// recordEvent notes an event of a stream.
+func (a *attempt) recordEvent() {
 	now := time.Now()
 	if a.events == 0 {
 		a.firstEventAt = now
-		a.signSeen()
+		a.stopOverdueWatch()
 	}
 	a.events++
 	a.watch.heard(now)
 }
 
-// sendUntilTaken sends the request to one instance after another until one does
+// sendUntilAccepted sends the request to one instance after another until one does
 // not refuse it. A failure's verdict says whether the request may have run.
-func (s *Server) sendUntilTaken(ctx context.Context, r *request, demand backend.Demand) (*attempt, *backend.Failure) {
+func (s *Server) sendUntilAccepted(ctx context.Context, r *request, demand backend.Demand) (*attempt, *backend.Failure) {
 	defer s.overload.left(r)
-	refused := 0
-	excluded := len(demand.Exclude)
+	refusals := 0
+	excludedBefore := len(demand.Exclude)
 	last := &backend.Failure{Verdict: verdict.NotRun, Reason: "no instance is known to be sound"}
 	for {
-		if !r.mayBeSent(time.Now()) {
+		if !r.hasTimeToSend(time.Now()) {
 			return nil, &backend.Failure{Verdict: verdict.NotRun, Reason: "too little time is left to send the request"}
 		}
-		choice, found := s.pick(r, refused, demand)
+		choice, found := s.pick(r, refusals, demand)
 		if failure := s.barred(demand, found); failure != nil {
 			return nil, failure
 		}
-		if !found && refused == 0 && excluded > 0 {
+		if !found && refusals == 0 && excludedBefore > 0 {
 			// The instances that ran the request are the only ones: rather one of them again
 			// than none.
-			excluded, demand.Exclude = 0, nil
+			excludedBefore, demand.Exclude = 0, nil
 			continue
 		}
 		if !found {
@@ -76,8 +76,8 @@
 			if !s.waitForSlot(ctx, r) {
 				return nil, r.failureOf(last)
 			}
-			refused = 0
-			demand.Exclude = demand.Exclude[:excluded]
+			refusals = 0
+			demand.Exclude = demand.Exclude[:excludedBefore]
 			continue
 		}
 		sent, failure := s.send(ctx, r, choice)
@@ -90,7 +90,7 @@
 			return nil, failure
 		}
 		last = failure
-		refused++
+		refusals++
 		if demand.Only != "" && s.isGone(ctx, choice.Instance, failure) {
 			demand.Only = ""
 		}
@@ -98,16 +98,16 @@
 	}
 }
 
-// mayBeSent reports whether enough time is left to learn what becomes of a send. A request that
+// hasTimeToSend reports whether enough time is left to learn what becomes of a send. A request that
 // may have run already has nothing to lose by one more.
-func (r *request) mayBeSent(now time.Time) bool {
+func (r *request) hasTimeToSend(now time.Time) bool {
 	return r.lostAnswer || r.deadline.Sub(now) > overload.LeastSendTime(r.deadline.Sub(r.arrived))
 }
 
 // pick chooses an instance unless enough of them have refused the request in this poll, or it
 // may not ask while there is no room.
-func (s *Server) pick(r *request, refused int, demand backend.Demand) (backend.Choice, bool) {
-	if refused >= maxRefusals || refused == 0 && !s.admits(r) {
+func (s *Server) pick(r *request, refusals int, demand backend.Demand) (backend.Choice, bool) {
+	if refusals >= maxRefusals || refusals == 0 && !s.admits(r) {
 		return backend.Choice{}, false
 	}
 	return s.directory.Pick(time.Now(), demand)
@@ -117,9 +117,9 @@
 // the attempt.
 func (s *Server) send(ctx context.Context, r *request, choice backend.Choice) (*attempt, *backend.Failure) {
 	r.outcome.sends++
-	r.outcome.instance, r.outcome.born = choice.Instance.ID, choice.Instance.Born
+	r.outcome.instance, r.outcome.instanceStarted = choice.Instance.ID, choice.Instance.Born
 	r.outcome.load, r.outcome.cost, r.outcome.candidates = choice.Load, choice.Cost, choice.Candidates
-	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missing = choice.Expected, choice.ReportsAge.Milliseconds(), choice.Missing
+	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missingTokens = choice.Expected, choice.ReportsAge.Milliseconds(), choice.Missing
 	s.metrics.sent(choice.Instance.Zone)
 	s.metrics.missing.Add(float64(choice.Missing))
 	sendCtx, release := context.WithCancel(ctx)
@@ -129,37 +129,37 @@
 		cancel := release
 		release = func() { watch.stop(); cancel() }
 	}
-	signSeen := s.watchOverdue(sendCtx, r, choice)
+	stopOverdueWatch := s.watchOverdue(sendCtx, r, choice)
 	answerTimer := time.AfterFunc(s.answerTimeout(r), release)
 	sentAt := time.Now()
-	call := s.call(r, choice.Instance)
+	call := s.instanceCall(r, choice.Instance)
 	call.MaySend = func() bool { return s.directory.MaySend(time.Now(), choice) }
 	answer, failure := s.pool.Do(sendCtx, choice.Instance, call)
 	answerTimer.Stop()
 	if failure != nil || r.route.Kind != route.Streaming {
-		signSeen()
+		stopOverdueWatch()
 	}
 	if failure != nil {
 		s.directory.GivenUp(time.Now(), choice)
 		release()
 		watch.explain(failure)
-		s.directory.EndFailed(time.Now(), choice, endedBy(ctx, failure))
-		s.logSend(r, choice, failure)
+		s.directory.EndFailed(time.Now(), choice, outcomeOfFailedSend(ctx, failure))
+		s.logSendFailure(r, choice, failure)
 		return nil, failure
 	}
 	s.pool.Heard(time.Now(), choice.Instance.ID)
 	s.directory.Arrived(time.Now(), choice)
 	if failure := s.instanceRefusal(choice, answer); failure != nil {
 		release()
-		s.logSend(r, choice, failure)
+		s.logSendFailure(r, choice, failure)
 		return nil, failure
 	}
-	return &attempt{choice: choice, answer: answer, sentAt: sentAt, watch: watch, signSeen: signSeen, release: release}, nil
+	return &attempt{choice: choice, answer: answer, sentAt: sentAt, watch: watch, stopOverdueWatch: stopOverdueWatch, release: release}, nil
 }
 
-// endedBy returns what a send without an answer tells of its instance. A gateway that slept
+// outcomeOfFailedSend returns what a send without an answer tells of its instance. A gateway that slept
 // past its permit, or a caller that left, tells nothing of it.
-func endedBy(ctx context.Context, failure *backend.Failure) backend.Ended {
+func outcomeOfFailedSend(ctx context.Context, failure *backend.Failure) backend.Ended {
 	switch {
 	case failure.NotSent:
 		return backend.NotSent
@@ -196,14 +196,14 @@
 // instance that fell silent is not known to be gone for seconds.
 func (s *Server) answerTimeout(r *request) time.Duration {
 	remaining := time.Until(r.deadline)
-	if !s.mayTryAgain(r) || r.route.Objective <= 0 {
+	if !s.mayRetry(r) || r.route.Objective <= 0 {
 		return remaining
 	}
-	return min(remaining, max(answerTimeoutLeast, 2*r.route.Objective))
+	return min(remaining, max(minAnswerTimeout, 2*r.route.Objective))
 }
 
-// logSend writes a send without a usable answer.
-func (s *Server) logSend(r *request, choice backend.Choice, failure *backend.Failure) {
+// logSendFailure writes a send without a usable answer.
+func (s *Server) logSendFailure(r *request, choice backend.Choice, failure *backend.Failure) {
 	s.log.Warn().Str("event", "send_failed").Str("id", r.id).Str("instance", choice.Instance.ID).
 		Str("verdict", failure.Verdict.String()).Str("reason", failure.Reason).Int("load", choice.Load).
 		Int64("since_ms", time.Since(r.arrived).Milliseconds()).Msg("")
--- a/internal/gateway/send_test.go
+++ b/internal/gateway/send_test.go
@@ -13,8 +13,8 @@
 func TestOnlyWhatAnInstanceDidCountsAgainstIt(t *testing.T) {
 	left, leave := context.WithCancel(t.Context())
 	leave()
-	require.Equal(t, backend.NotSent, endedBy(t.Context(), &backend.Failure{NotSent: true}))
-	require.Equal(t, backend.NotSent, endedBy(left, &backend.Failure{}))
-	require.Equal(t, backend.Unreachable, endedBy(left, &backend.Failure{Unreachable: true}))
-	require.Equal(t, backend.Unreachable, endedBy(t.Context(), &backend.Failure{}))
+	require.Equal(t, backend.NotSent, outcomeOfFailedSend(t.Context(), &backend.Failure{NotSent: true}))
+	require.Equal(t, backend.NotSent, outcomeOfFailedSend(left, &backend.Failure{}))
+	require.Equal(t, backend.Unreachable, outcomeOfFailedSend(left, &backend.Failure{Unreachable: true}))
+	require.Equal(t, backend.Unreachable, outcomeOfFailedSend(t.Context(), &backend.Failure{}))
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -25,19 +25,19 @@
 	// defaultBody and defaultHeader bound requests before the configuration is known.
 	defaultBody   = 4 << 20
 	defaultHeader = 64 << 10
-	// idleLimit is how long a caller's connection may rest; longer than any
+	// idleTimeout is how long a caller's connection may rest; longer than any
 	// configuration allows callers to reuse one.
-	idleLimit = 2 * time.Minute
-	// headerLimit is how long a caller may take for a header.
-	headerLimit = 10 * time.Second
-	// leaveNotice is how long new callers may still come after readiness ended.
-	leaveNotice = 2500 * time.Millisecond
-	// endPoll is how often a stop looks whether the last request ended.
-	endPoll = 25 * time.Millisecond
-	// configurationStaleLimit is how long the configuration may be stale before a route that it
+	idleTimeout = 2 * time.Minute
+	// headerTimeout is how long a caller may take for a header.
+	headerTimeout = 10 * time.Second
+	// drainDelay is how long new callers may still come after readiness ended.
+	drainDelay = 2500 * time.Millisecond
+	// drainPollInterval is how often a stop looks whether the last request ended.
+	drainPollInterval = 25 * time.Millisecond
+	// maxConfigurationStaleness is how long the configuration may be stale before a route that it
 	// lacks is no longer taken not to exist. It is below the least time in which a change
 	// must be in force on any deployment so far (2 s).
-	configurationStaleLimit = 1500 * time.Millisecond
+	maxConfigurationStaleness = 1500 * time.Millisecond
 )
 
 // Options are what a gateway is made of.
@@ -85,29 +85,29 @@
 	replicas  *quorum.Cells
 	metrics   *Metrics
 
-	table atomic.Pointer[route.Table]
-	known atomic.Bool
-	// knownAt is when the first list of instances came, since the start; evacuationsKnown is
+	table          atomic.Pointer[route.Table]
+	instancesKnown atomic.Bool
+	// instancesKnownAt is when the first list of instances came, since the start; evacuationsKnown is
 	// set once it is known which zones are evacuated.
-	knownAt          atomic.Int64
+	instancesKnownAt atomic.Int64
 	evacuationsKnown atomic.Bool
-	// gateways is how many the registry lists.
-	gateways atomic.Int64
+	// gatewayCount is how many the registry lists.
+	gatewayCount atomic.Int64
 	// stopping ends readiness; ending refuses what is not yet passed on.
 	stopping atomic.Bool
-	ending   atomic.Bool
+	closing  atomic.Bool
 	// gossip tells whether other gateways are heard of; nil before the registry was read.
 	// wasIsolated is what isolated said last.
 	gossip      atomic.Pointer[Gossip]
 	wasIsolated atomic.Bool
-	// endsAt is when a planned stop cuts what is left, in nanoseconds since the start. It
+	// drainDeadline is when a planned stop cuts what is left, in nanoseconds since the start. It
 	// is set once no new callers come; zero before.
-	endsAt atomic.Int64
-	// knowledge says how fresh configuration and instances are; nil before that is known.
-	knowledge atomic.Pointer[knowledge]
-	// listedAt is when the list of instances last changed, since the start.
-	listedAt atomic.Int64
-	started  time.Time
+	drainDeadline atomic.Int64
+	// feedStatus says how fresh configuration and instances are; nil before that is known.
+	feedStatus atomic.Pointer[feedStatus]
+	// instancesChangedAt is when the list of instances last changed, since the start.
+	instancesChangedAt atomic.Int64
+	started            time.Time
 
 	// allowances are what this gateway may let through of tenants with a limit.
 	allowances *allowances
@@ -117,8 +117,8 @@
 	shares *tenantShares
 	// held counts the memory held for callers; nil where it is not bounded. unreadLimit is how
 	// long they may leave an answer unread.
-	held        *heldMemory
-	unreadLimit time.Duration
+	held          *heldMemory
+	unreadTimeout time.Duration
 	// programs are those under way.
 	programs *programs
 
@@ -136,14 +136,14 @@
 		options: options, dialect: options.Dialect, log: options.Log, directory: options.Directory,
 		replicas: options.Replicas, metrics: options.Metrics, splitter: route.NewSplitter(options.Node), started: time.Now(),
 		allowances: newAllowances(), overload: newQueues(), shares: newTenantShares(options.Metrics), programs: newPrograms(options.Log, options.Metrics), members: replicaset.NewReader(),
-		held: newHeldMemory(options.HeldBytes), unreadLimit: unreadLimit,
+		held: newHeldMemory(options.HeldBytes), unreadTimeout: defaultUnreadTimeout,
 	}
 	s.pool = backend.NewPool(s.metrics.connections.Inc)
 	s.pool.UseFar(s.directory.OtherRegion)
 	s.directory.UseConnections(s.pool)
 	s.metrics.countHeld(s.held.held)
 	s.metrics.countEvacuated(s.directory.EvacuatedInFlight)
-	s.directory.LimitColdStarts(options.Node, options.ColdStarts, coldReport{log: s.log, metrics: s.metrics})
+	s.directory.LimitColdStarts(options.Node, options.ColdStarts, coldObserver{log: s.log, metrics: s.metrics})
 	return s
 }
 
@@ -172,13 +172,13 @@
 		return err
 	}
 	server := &http.Server{
-		Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit,
+		Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: defaultHeader,
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
@@ -194,27 +194,27 @@
 	s.log.Info().Str("event", "stopping").Int64("in_flight", s.inFlight.Load()).Msg("")
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	wait.For(ctx, leaveNotice)
+	wait.For(ctx, drainDelay)
 	_ = listener.Close()
 	if deadline, bounded := ctx.Deadline(); bounded {
-		s.endsAt.Store(int64(deadline.Sub(s.started)))
+		s.drainDeadline.Store(int64(deadline.Sub(s.started)))
 	}
-	for s.inFlight.Load() > 0 && wait.For(ctx, endPoll) {
+	for s.inFlight.Load() > 0 && wait.For(ctx, drainPollInterval) {
 	}
-	s.ending.Store(true)
+	s.closing.Store(true)
 	// Requests read at this moment are refused; they get their answers first.
-	wait.For(context.Background(), endPoll)
-	if left := s.inFlight.Load(); left > 0 {
-		s.log.Warn().Str("event", "stop_cut").Int64("in_flight", left).Msg("")
+	wait.For(context.Background(), drainPollInterval)
+	if remaining := s.inFlight.Load(); remaining > 0 {
+		s.log.Warn().Str("event", "stop_cut").Int64("in_flight", remaining).Msg("")
 	}
 	return server.Close()
 }
 
-// endsBefore reports whether the gateway is at the end of a planned stop and may be gone
+// drainEndsBefore reports whether the gateway is at the end of a planned stop and may be gone
 // before the given time. What callers still send on kept connections is refused then:
 // taken, it might be cut.
-func (s *Server) endsBefore(deadline time.Time) bool {
-	endsAt := s.endsAt.Load()
+func (s *Server) drainEndsBefore(deadline time.Time) bool {
+	endsAt := s.drainDeadline.Load()
 	return endsAt != 0 && deadline.After(s.started.Add(time.Duration(endsAt)))
 }
 
@@ -228,7 +228,7 @@
 	}
 	defer s.finish(r)
 	defer func() { r.held.release() }()
-	s.awaitReader(w, r) // the limit of the connection's last request may be over
+	s.extendWriteDeadline(w, r) // the limit of the connection's last request may be over
 	if s.stopping.Load() || s.wasIsolated.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -243,10 +243,10 @@
 	ctx, cancel := context.WithDeadline(incoming.Context(), r.deadline)
 	defer cancel()
 	if r.route.Kind == route.Streaming {
-		s.stream(ctx, w, r)
+		s.serveStream(ctx, w, r)
 		return
 	}
-	s.plain(ctx, w, r)
+	s.servePlain(ctx, w, r)
 }
 
 // finish writes the request's log line and counts it.
@@ -263,9 +263,9 @@
 	s.log.Info().Str("event", "request").Str("id", r.id).Str("program", r.header.Get(s.dialect.Program)).
 		Str("tenant", r.tenantName()).Str("key_fingerprint", r.keyFingerprint).Str("route", name).Uint64("config", version).Str("service", r.service.Name).
 		Int("status", o.status).Str("result", o.result).Str("reason", o.reason).
-		Str("instance", o.instance).Int("sends", o.sends).Int("load", o.load).Float64("expected_load", o.expectedLoad).Int64("reports_age_ms", o.reportsAgeMS).Float64("cost", o.cost).Int("missing", o.missing).
+		Str("instance", o.instance).Int("sends", o.sends).Int("load", o.load).Float64("expected_load", o.expectedLoad).Int64("reports_age_ms", o.reportsAgeMS).Float64("cost", o.cost).Int("missing", o.missingTokens).
 		Int("candidates", o.candidates).Str("lender", o.lender).Float64("limit_ms", o.limitMS).Float64("reserve_ms", o.reserveMS).Float64("first_ms", o.firstMS).
-		Float64("commit_ms", o.commitMS).Int("events", o.events).Int64("charged", o.others).Bool("asked_regions", o.everywhere).Uint64("epoch", o.epoch).
-		Str("previous", r.header.Get(s.dialect.PreviousTurn)).Int64("list_age_ms", s.listAge().Milliseconds()).
+		Float64("commit_ms", o.commitMS).Int("events", o.events).Int64("charged", o.otherCharges).Bool("asked_regions", o.askedAllRegions).Uint64("epoch", o.epoch).
+		Str("previous", r.header.Get(s.dialect.PreviousTurn)).Int64("list_age_ms", s.instanceListAge().Milliseconds()).
 		Int64("program_left_ms", r.programLeftMS()).Int64("took_ms", took.Milliseconds()).Msg("")
 }
--- a/internal/gateway/slowreader_test.go
+++ b/internal/gateway/slowreader_test.go
@@ -83,7 +83,7 @@
 // good. What it was sent must not look whole.
 func TestACallerThatReadsNothingIsCutOff(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
-	s.unreadLimit = 300 * time.Millisecond
+	s.unreadTimeout = 300 * time.Millisecond
 	caller := askSlowly(t, address, 1)
 	require.Eventually(t, func() bool { return s.inFlight.Load() == 1 }, 20*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return s.inFlight.Load() == 0 }, 20*time.Second, 5*time.Millisecond)
@@ -96,7 +96,7 @@
 
 func TestACallerThatNeverEndsItsBodyIsCutOff(t *testing.T) {
 	s, address, began := streamingGateway(t, 8<<20)
-	s.unreadLimit = 300 * time.Millisecond
+	s.unreadTimeout = 300 * time.Millisecond
 	caller, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
@@ -112,9 +112,9 @@
 // A request may be under way for longer than its caller may leave an answer unread.
 func TestARefusalAfterALongWaitReachesItsCaller(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
-	s.unreadLimit = 50 * time.Millisecond
+	s.unreadTimeout = 50 * time.Millisecond
 	broken := withSmallSockets(t, func(http.ResponseWriter, *http.Request) {
-		<-time.After(4 * s.unreadLimit)
+		<-time.After(4 * s.unreadTimeout)
 		panic(http.ErrAbortHandler)
 	})
 	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Address: broken, Slots: 1}}}, false)
@@ -126,7 +126,7 @@
 // The limit is one of each write: who reads on, however slowly, gets the whole answer.
 func TestASlowCallerThatReadsOnGetsTheWholeAnswer(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
-	s.unreadLimit = time.Second
+	s.unreadTimeout = time.Second
 	caller := askSlowly(t, address, 1)
 	answer, err := http.ReadResponse(bufio.NewReaderSize(caller, 512), nil)
 	require.NoError(t, err)
@@ -142,7 +142,7 @@
 		time.Sleep(15 * time.Millisecond)
 	}
 	require.Greater(t, read, slowEvents*slowEventBytes)
-	require.Greater(t, time.Since(began), s.unreadLimit)
+	require.Greater(t, time.Since(began), s.unreadTimeout)
 }
 
 // A thousand callers that read nothing: as many are served as the memory for them holds, and
@@ -150,7 +150,7 @@
 func TestAThousandSlowReadersStayWithinTheMemory(t *testing.T) {
 	const readers, heldBytes = 1000, 8 << 20
 	s, address, began := streamingGateway(t, heldBytes)
-	s.unreadLimit = 2 * time.Second
+	s.unreadTimeout = 2 * time.Second
 	var callers []net.Conn
 	for i := range readers {
 		callers = append(callers, askSlowly(t, address, i))
@@ -176,7 +176,7 @@
 func TestABodyThatDoesNotFitIsRefusedBeforeItRuns(t *testing.T) {
 	s, address, began := streamingGateway(t, 1<<20)
 	limit := memorybudget.LimitsOf(1 << 20).Request
-	for _, size := range []int64{limit/bodyCopies - requestBytes/bodyCopies - 1<<10, limit} {
+	for _, size := range []int64{limit/bodyCopies - requestOverheadBytes/bodyCopies - 1<<10, limit} {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+"/turn/1", io.LimitReader(zeros{}, size))
 		require.NoError(t, err)
 		request.Host = "apps.test"
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -47,7 +47,7 @@
 func TestAStopRefusesWhatItCouldNotFinish(t *testing.T) {
 	s := gatewayOf(t)
 	require.Contains(t, ask(s, "100").Body.String(), "overloaded", "there is no instance")
-	s.endsAt.Store(int64(time.Since(s.started) + time.Second))
+	s.drainDeadline.Store(int64(time.Since(s.started) + time.Second))
 	late := ask(s, "2000")
 	require.Equal(t, http.StatusServiceUnavailable, late.Code)
 	require.Contains(t, late.Body.String(), "unavailable")
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,16 +17,16 @@
 // turn is a streamed request on its way.
 type turn struct {
 	*request
-	program string
-	most    int64
+	program   string
+	maxTokens int64
 	// previous is the turn whose history goes before the caller's input.
 	previous    string
 	input       []byte
 	reservation *quorum.Reservation
 	// cell keeps the program's turns and charges; everywhere is set once the charge may be
 	// in the cells of other regions as well.
-	cell       *quorum.Client
-	everywhere bool
+	cell              *quorum.Client
+	reservedElsewhere bool
 	// parts are the parts of the prompt.
 	parts []backend.Part
 	// ancestors are the turns before this one, where another cell keeps them.
@@ -36,18 +36,18 @@
 	output    []byte
 	events    int
 	lastEvent string
-	// begun is set once bytes went to the caller.
-	begun bool
-	ran   bool
+	// responseStarted is set once bytes went to the caller.
+	responseStarted bool
+	ran             bool
 }
 
-// stream serves a request that is answered by events.
-func (s *Server) stream(ctx context.Context, w http.ResponseWriter, r *request) {
+// serveStream serves a request that is answered by events.
+func (s *Server) serveStream(ctx context.Context, w http.ResponseWriter, r *request) {
 	t := &turn{request: r, input: r.body, lastEvent: r.header.Get(s.dialect.LastEvent)}
 	if r.header.Get(s.dialect.TokenBudget) != "" {
 		t.program = r.header.Get(s.dialect.Program)
 	}
-	t.most = mostTokens(r.header, s.dialect.TokenCount)
+	t.maxTokens = maxTokens(r.header, s.dialect.TokenCount)
 	t.parts = promptParts(r.header.Get(s.dialect.PromptPrefix))
 	if r.route.Retained {
 		t.previous = r.header.Get(s.dialect.PreviousTurn)
@@ -64,10 +64,10 @@
 	}
 	if bound := t.held.grow(bodyCopies * (len(t.body) - len(t.input))); bound != memorybudget.Within {
 		s.settle(t)
-		s.refuse(w, r, s.refuseHeld(r, bound))
+		s.refuse(w, r, s.refuseForMemory(r, bound))
 		return
 	}
-	t.first = t.previous == "" && t.reservation != nil && t.reservation.Others == 0
+	t.firstOfProgram = t.previous == "" && t.reservation != nil && t.reservation.Others == 0
 	// A turn that is refused for other reasons must not use up the tenant's limit.
 	if failure := s.withinLimit(ctx, r); failure != nil {
 		s.settle(t)
@@ -78,7 +78,7 @@
 	r.outcome.events = t.events
 	switch {
 	case failure == nil:
-	case t.begun:
+	case t.responseStarted:
 		s.settle(t)
 		r.outcome.status, r.outcome.result, r.outcome.reason = http.StatusOK, "broken_off", failure.Reason
 		panic(http.ErrAbortHandler) // the connection ends without the stream's end
@@ -88,9 +88,9 @@
 	}
 }
 
-// continuesForeign reports whether the previous turn is another tenant's, as a replica of the
+// continuesOtherTenant reports whether the previous turn is another tenant's, as a replica of the
 // program's cell or of the cell that holds the turn says.
-func (t *turn) continuesForeign() bool {
+func (t *turn) continuesOtherTenant() bool {
 	if t.reservation.Foreign {
 		return true
 	}
@@ -115,7 +115,7 @@
 	charge := ledger.Charge{Turn: t.id, Tokens: int64(generated), Final: true}
 	if t.events > 0 && len(t.parts) > 0 {
 		last := t.parts[len(t.parts)-1]
-		charge.Cached = ledger.CachedPrompt{Instance: t.outcome.instance, Born: t.outcome.born, Part: last.ID, Tokens: last.Tokens + generated}
+		charge.Cached = ledger.CachedPrompt{Instance: t.outcome.instance, Born: t.outcome.instanceStarted, Part: last.ID, Tokens: last.Tokens + generated}
 	}
 	return charge
 }
@@ -126,15 +126,15 @@
 	if t.reservation == nil {
 		return nil
 	}
-	var held []backend.Cached
+	var cached []backend.Cached
 	for _, prompt := range t.reservation.Cached {
 		for index, part := range t.parts {
 			if part.ID == prompt.Part {
-				held = append(held, backend.Cached{Instance: prompt.Instance, Born: prompt.Born, Part: index, Tokens: prompt.Tokens})
+				cached = append(cached, backend.Cached{Instance: prompt.Instance, Born: prompt.Born, Part: index, Tokens: prompt.Tokens})
 			}
 		}
 	}
-	return held
+	return cached
 }
 
 // relay sends the turn to an instance and passes its events on, going on at
@@ -149,12 +149,12 @@
 	if t.reservation != nil {
 		demand.Preferred = t.reservation.Instance
 	}
-	ran := instanceRuns{attempts: t.route.Attempts}
+	instances := instanceRuns{attempts: t.route.Attempts}
 	for runs := 0; ; {
 		eventsBefore := t.events
-		sent, failure := s.sendUntilTaken(ctx, t.request, demand)
+		sent, failure := s.sendUntilAccepted(ctx, t.request, demand)
 		if failure == nil {
-			failure = s.pass(ctx, w, t, sent)
+			failure = s.relayStream(ctx, w, t, sent)
 			if failure == nil {
 				return nil
 			}
@@ -162,15 +162,15 @@
 		if failure.Verdict == verdict.NotRun {
 			return failure // every instance was asked until the time for that was over
 		}
-		t.ran, t.lostAnswer, t.first = true, true, false
+		t.ran, t.lostAnswer, t.firstOfProgram = true, true, false
 		runs++
 		if failure.Verdict == verdict.Ran || !t.route.Resumable || runs > maxResumes || ctx.Err() != nil {
 			return failure
 		}
 		// The same instance goes on if it can: another one would be one more that runs the
 		// request, and the route says how many may.
-		ran.add(t.outcome.instance)
-		demand.Preferred, demand.Only = t.outcome.instance, ran.only(t.events == eventsBefore)
+		instances.add(t.outcome.instance)
+		demand.Preferred, demand.Only = t.outcome.instance, instances.requiredInstance(t.events == eventsBefore)
 		s.log.Info().Str("event", "stream_resumed").Str("id", t.id).Str("instance", t.outcome.instance).
 			Str("last_event", t.lastEvent).Int("events", t.events).Str("reason", failure.Reason).Msg("")
 	}
@@ -179,52 +179,52 @@
 // maxResumes is how often one answer is taken up again.
 const maxResumes = 3
 
-// pass hands an instance's answer to the caller.
-func (s *Server) pass(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
+// relayStream hands an instance's answer to the caller.
+func (s *Server) relayStream(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
 	response := sent.answer.Response
 	if response.StatusCode != http.StatusOK || response.Header.Get(s.dialect.Signature) == "" {
-		return s.passOther(w, t, sent)
+		return s.relayNonStream(w, t, sent)
 	}
 	defer sent.release()
-	failure := s.passEvents(ctx, w, t, sent)
+	failure := s.relayEvents(ctx, w, t, sent)
 	sent.watch.explain(failure)
-	ended := backend.Answered
+	sendOutcome := backend.Answered
 	switch {
 	case sent.watch.gone.Load():
-		ended = backend.Unreachable
+		sendOutcome = backend.Unreachable
 	case failure != nil && failure.Verdict == verdict.MayHaveRun && ctx.Err() == nil:
-		ended = backend.Failed
+		sendOutcome = backend.Failed
 	}
-	s.directory.EndFailed(time.Now(), sent.choice, ended)
+	s.directory.EndFailed(time.Now(), sent.choice, sendOutcome)
 	if failure != nil {
 		sent.answer.Discard()
-		s.logSend(t.request, sent.choice, failure)
+		s.logSendFailure(t.request, sent.choice, failure)
 		return failure
 	}
 	sent.answer.Finish()
 	s.observe(t.request, sent, sent.firstEventAt, sent.events)
-	if failure := s.complete(ctx, t); failure != nil {
+	if failure := s.commitTurn(ctx, t); failure != nil {
 		return failure
 	}
-	s.awaitReader(w, t.request)
-	t.begin(w, sent) // a stream resumed at its end has no events
+	s.extendWriteDeadline(w, t.request)
+	t.startResponse(w, sent) // a stream resumed at its end has no events
 	return nil
 }
 
-// begin passes on the head of the first instance's answer.
-func (t *turn) begin(w http.ResponseWriter, sent *attempt) {
-	if t.begun {
+// startResponse passes on the head of the first instance's answer.
+func (t *turn) startResponse(w http.ResponseWriter, sent *attempt) {
+	if t.responseStarted {
 		return
 	}
-	t.begun = true
-	t.outcome.firstMS = sinceMS(t.arrived)
+	t.responseStarted = true
+	t.outcome.firstMS = millisecondsSince(t.arrived)
 	copyHeader(w.Header(), sent.answer.Response.Header)
 	w.WriteHeader(http.StatusOK)
 }
 
-// passOther hands on an answer that is no stream.
-func (s *Server) passOther(w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
-	if t.begun {
+// relayNonStream hands on an answer that is no stream.
+func (s *Server) relayNonStream(w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
+	if t.responseStarted {
 		sent.answer.Discard()
 		sent.release()
 		s.directory.End(time.Now(), sent.choice, backend.Answered)
@@ -238,8 +238,8 @@
 	return failure
 }
 
-// passEvents passes each event on as it comes.
-func (s *Server) passEvents(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
+// relayEvents passes each event on as it comes.
+func (s *Server) relayEvents(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
 	events := newEventReader(sent.answer.Buffered())
 	flusher := http.NewResponseController(w)
 	for {
@@ -251,15 +251,15 @@
 			return &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the stream broke off: " + err.Error()}
 		}
 		t.ran = true
-		sent.sawEvent()
+		sent.recordEvent()
 		if err := s.awaitReservation(ctx, t); err != nil {
 			return &backend.Failure{Verdict: verdict.Ran, Reason: "the reservation is not durable: " + err.Error()}
 		}
-		if failure := s.take(t, event); failure != nil {
+		if failure := s.recordEvent(t, event); failure != nil {
 			return failure
 		}
-		t.begin(w, sent)
-		s.awaitReader(w, t.request)
+		t.startResponse(w, sent)
+		s.extendWriteDeadline(w, t.request)
 		if _, err := w.Write(event.raw); err != nil {
 			return &backend.Failure{Verdict: verdict.Ran, Reason: s.writeFailure(err)}
 		}
@@ -269,12 +269,12 @@
 	}
 }
 
-// take notes an event that goes to the caller. What later prompts hold of it is kept; there may
+// recordEvent notes an event that goes to the caller. What later prompts hold of it is kept; there may
 // be no memory for that.
-func (s *Server) take(t *turn, event event) *backend.Failure {
+func (s *Server) recordEvent(t *turn, event event) *backend.Failure {
 	if t.route.Retained {
 		if bound := t.held.grow(len(event.data) + 1); bound != memorybudget.Within {
-			s.logHeld(t.request, bound, true)
+			s.logMemoryBound(t.request, bound, true)
 			return &backend.Failure{Verdict: verdict.Ran, Reason: (&memoryError{bound: bound}).Error()}
 		}
 		t.output = append(t.output, event.data...)
@@ -289,8 +289,8 @@
 	return nil
 }
 
-// complete makes the finished turn durable before the stream's end is passed on.
-func (s *Server) complete(ctx context.Context, t *turn) *backend.Failure {
+// commitTurn makes the finished turn durable before the stream's end is passed on.
+func (s *Server) commitTurn(ctx context.Context, t *turn) *backend.Failure {
 	t.outcome.status, t.outcome.result = http.StatusOK, "answered"
 	if !t.route.Retained {
 		s.settle(t)
@@ -310,7 +310,7 @@
 	}
 	s.settleElsewhere(t)
 	err := cell.Commit(ctx, commit, s.options.Copies)
-	t.outcome.commitMS = sinceMS(began)
+	t.outcome.commitMS = millisecondsSince(began)
 	s.metrics.commit.Observe(time.Since(began).Seconds())
 	if err != nil {
 		return &backend.Failure{Verdict: verdict.Ran, Reason: "the turn is not durable: " + err.Error()}
@@ -318,6 +318,6 @@
 	return nil
 }
 
-func sinceMS(began time.Time) float64 {
+func millisecondsSince(began time.Time) float64 {
 	return float64(time.Since(began).Microseconds()) / 1000
 }
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -80,10 +80,10 @@
 		request: &request{tenant: &tenant.Tenant{Name: "riga"}}, reservation: &quorum.Reservation{},
 		ancestors: []ledger.Turn{{ID: "b", Tenant: "riga"}, {ID: "a", Tenant: "riga"}},
 	}
-	require.False(t, own.continuesForeign())
+	require.False(t, own.continuesOtherTenant())
 	own.ancestors[0].Tenant = "luzon"
-	require.True(t, own.continuesForeign())
-	require.True(t, (&turn{request: &request{}, reservation: &quorum.Reservation{Foreign: true}}).continuesForeign())
+	require.True(t, own.continuesOtherTenant())
+	require.True(t, (&turn{request: &request{}, reservation: &quorum.Reservation{Foreign: true}}).continuesOtherTenant())
 }
 
 func TestWhatOrdersEnginesAboutNeverPassesFromACaller(t *testing.T) {
@@ -100,13 +100,13 @@
 			"Authorization": {"Bearer key-a"}, "X-Other": {"stays"}, "Connection": {"X-Hop"}, "X-Hop": {"1"},
 		},
 	}
-	passed := s.call(r, backend.Instance{ID: "i"}).Header
+	passed := s.instanceCall(r, backend.Instance{ID: "i"}).Header
 	require.Equal(t, http.Header{"X-Id": {"1"}, "X-Tenant": {"a"}, "X-Other": {"stays"}, "X-Expected": {"i"}, "X-Deadline": passed["X-Deadline"]}, passed)
 
 	r.tenant = nil
-	require.NotContains(t, s.call(r, backend.Instance{ID: "i"}).Header, "X-Tenant", "a public request is no tenant's")
+	require.NotContains(t, s.instanceCall(r, backend.Instance{ID: "i"}).Header, "X-Tenant", "a public request is no tenant's")
 	r.table = route.NewTable(3, nil, nil, route.Limits{})
-	passed = s.call(r, backend.Instance{ID: "i"}).Header
+	passed = s.instanceCall(r, backend.Instance{ID: "i"}).Header
 	require.Contains(t, passed, "Authorization", "without tenants the header is the callers' and instances' own matter")
 	require.NotContains(t, passed, "X-Reserve")
 }
