--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -9,23 +9,24 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// The pauses after which a refused caller may come back.
+// The Retry-After pauses of refused callers.
 const (
 	configurationRetry = 400 * time.Millisecond
 	replicaRetry       = 300 * time.Millisecond
-	// minOverloadRetry is for requests whose caller or deadline left no time to forecast.
+	// minOverloadRetry is for requests whose caller or deadline left no time to forecast a wait.
 	minOverloadRetry = 20 * time.Millisecond
-	// otherGatewayRetry is for refusals of this gateway alone: others serve.
+	// otherGatewayRetry is for refusals that concern this gateway only: others can serve.
 	otherGatewayRetry = 20 * time.Millisecond
 )
 
-// admit matches the request with its route and reads its body.
+// admit matches the request with its route, authenticates it, holds memory for it, reads its
+// body and selects its service. It returns nil if the request may proceed.
 func (s *Server) admit(w http.ResponseWriter, r *request, incoming *http.Request) *refusal {
 	if s.closing.Load() {
-		return refuseFor(verdict.CodeUnavailable, configurationRetry, "the gateway is about to end")
+		return refuseFor(verdict.CodeUnavailable, configurationRetry, "the gateway is shutting down")
 	}
 	r.table = s.table.Load()
-	if r.table == nil || !s.isInformed() {
+	if r.table == nil || !s.hasPlacementState() {
 		return refuseFor(verdict.CodeUnavailable, configurationRetry, "no configuration is known yet")
 	}
 	r.route = r.table.Match(r.host, incoming.URL.Path)
@@ -61,14 +62,14 @@
 	s.setDeadline(r)
 	r.setProgramDeadline(s.dialect.ProgramDeadline)
 	if s.drainEndsBefore(r.deadline) {
-		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "the gateway ends before the request's deadline")
+		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "the gateway shuts down before the request's deadline")
 	}
 	return nil
 }
 
-// authenticate finds the tenant that holds the request's key. A public route needs no key.
-// An unknown key is refused for good only while the configuration is surely the newest one:
-// the key may have been added since.
+// authenticate looks up the tenant that holds the request's key. A public route needs no key.
+// An unknown key is answered with 401 only while the configuration is known to be current:
+// the key may have been added since, so a stale gateway answers with a retryable refusal.
 func (s *Server) authenticate(r *request) *refusal {
 	if r.table.Tenants == nil {
 		return nil
@@ -87,11 +88,11 @@
 	case hasKey:
 		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "no tenant holds this key"}
 	default:
-		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "the request shows no key"}
+		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "the request has no key"}
 	}
 }
 
-// headerBytes returns the size of a request's line and header fields.
+// headerBytes returns the size of a request's line and header fields, in bytes.
 func headerBytes(incoming *http.Request) int {
 	const perLine = len(": \r\n")
 	size := len(incoming.Method) + len(incoming.RequestURI) + len(incoming.Proto) + perLine + len("Host") + perLine + len(incoming.Host)
@@ -103,6 +104,7 @@
 	return size
 }
 
+// setDeadline sets the request's deadline from the caller's header, capped by the route's timeout.
 func (s *Server) setDeadline(r *request) {
 	timeout, present := milliseconds(r.header, s.dialect.Deadline)
 	if !present {
@@ -114,25 +116,26 @@
 	r.deadline = r.arrived.Add(timeout)
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is an error answer that the gateway itself generates.
 type refusal struct {
 	status int
 	code   verdict.Code
 	reason string
-	// retryAfter is when the caller may come back; zero says nothing.
+	// retryAfter is the Retry-After pause; 0 omits the header.
 	retryAfter time.Duration
 }
 
-// refuseFor returns a promise that the request has not run and never will.
+// refuseFor returns a 503 refusal, which guarantees that the request has not run and never will.
 func refuseFor(code verdict.Code, retryAfter time.Duration, reason string) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, code: code, reason: reason, retryAfter: retryAfter}
 }
 
-// refuseOutcomeUnknown says that the request may have run.
+// refuseOutcomeUnknown returns a refusal of a request that may have run.
 func refuseOutcomeUnknown(status int, reason string) *refusal {
 	return &refusal{status: status, code: verdict.CodeOutcomeUnknown, reason: reason}
 }
 
+// refuse answers the request with the refusal and records it in the request's outcome.
 func (s *Server) refuse(w http.ResponseWriter, r *request, failure *refusal) {
 	r.outcome.status = failure.status
 	r.outcome.result = string(failure.code)
@@ -149,5 +152,5 @@
 	body := []byte(`{"error":"` + string(failure.code) + `"}`)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(failure.status)
-	_, _ = w.Write(body) // the caller may be gone
+	_, _ = w.Write(body) // the caller may have disconnected
 }
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -13,12 +13,12 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// coldWaitDivisor bounds the wait for a place at a cold instance to a quarter of the route's
+// coldWaitDivisor bounds the wait for a slot at a cold instance to a quarter of the route's
 // objective: after a longer wait the answer would probably be late, and the caller does better
-// to come back when a place is free, or to another gateway.
+// to retry when a slot is free, or at another gateway.
 const coldWaitDivisor = 4
 
-// coldServices returns what the configuration says of cold instances, by service.
+// coldServices returns the cold start limits of the configuration by service.
 func coldServices(table *route.Table) map[string]coldstart.Service {
 	services := map[string]coldstart.Service{}
 	for name, service := range table.Services {
@@ -29,7 +29,7 @@
 	return services
 }
 
-// coldGateways returns the gateways among which the places of cold instances are divided.
+// coldGateways returns the gateways that share the slots of cold instances.
 func coldGateways(nodes map[string]replicaset.Node) []coldstart.Gateway {
 	gateways := make([]coldstart.Gateway, 0, len(nodes))
 	for name, node := range nodes {
@@ -38,9 +38,10 @@
 	return gateways
 }
 
-// refuseWhileCold returns why a request for which no instance was found need not wait, nil if
-// it may. Where only cold instances serve, it is refused at once unless this gateway has a free
-// place soon. One that was sent before waits on: it may be a stream that has begun.
+// refuseWhileCold returns the failure of a request for which no instance was found, or nil if
+// the request may wait. Where only cold instances serve, the request is refused at once unless
+// this gateway has a free slot soon. A request that was sent before keeps waiting: it may be a
+// stream that has begun.
 func (s *Server) refuseWhileCold(r *request, service string) *backend.Failure {
 	wait, hasShare, onlyCold := s.directory.OnlyCold(time.Now(), service)
 	switch {
@@ -53,10 +54,10 @@
 	}
 	s.log.Info().Str("event", "cold_withheld").Str("id", r.id).Str("service", service).Bool("shared", hasShare).
 		Dur("wait", wait).Int64("list_age_ms", s.instanceListAge().Milliseconds()).Msg("")
-	return &backend.Failure{Verdict: verdict.NotRun, RetryAfter: wait, Reason: "all instances are cold and have no place for this gateway"}
+	return &backend.Failure{Verdict: verdict.NotRun, RetryAfter: wait, Reason: "all instances are cold and have no slot for this gateway"}
 }
 
-// coldObserver logs and counts what the directory believes of cold instances.
+// coldObserver logs and counts what the directory reports on cold instances.
 type coldObserver struct {
 	log     *log.Logger
 	metrics *Metrics
--- a/internal/gateway/places.go
+++ b/internal/gateway/eligibility.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// barredRetry is the Retry-After of a request that no zone may serve: the operator has to
+	// ineligibleRetry is the Retry-After of a request that no zone may serve: the operator has to
 	// change something first, which takes seconds.
-	barredRetry = time.Second
-	// evacuationsWait is how long a gateway that knows the instances waits to hear which
-	// zones are evacuated. Both are listed side by side; a list takes 2 s at most. Copies
-	// that an older version wrote say nothing of evacuations: a fleet that starts from them
-	// while the store is away serves after this time.
-	evacuationsWait = 2 * time.Second
+	ineligibleRetry = time.Second
+	// evacuationsTimeout is how long a gateway that knows the instances waits for the list of
+	// evacuated zones. Both are listed at the same time; a list takes 2 s at most. Copies
+	// written by an older version do not contain evacuations: a fleet that starts from them
+	// while the store is unavailable serves after this time.
+	evacuationsTimeout = 2 * time.Second
 )
 
-// homes returns in which regions the request may be handled. Those of its route and of its
-// tenant both bind.
+// homes returns the regions in which the request may be handled: those allowed by both its route
+// and its tenant.
 func (r *request) homes() place.Homes {
 	homes := r.route.Homes
 	if r.tenant != nil {
@@ -29,18 +29,19 @@
 	return homes
 }
 
-// refusalIfBarred returns the refusal of a request that no zone may serve, or nil. It is asked
-// before the request is counted anywhere: it will not run.
-func (s *Server) refusalIfBarred(r *request) *refusal {
+// refuseIfIneligible returns the refusal of a request that no zone may serve, or nil. It is called
+// before the request is counted against any limit, because such a request will not run.
+func (s *Server) refuseIfIneligible(r *request) *refusal {
 	bar := s.directory.Barred(time.Now(), backend.Demand{Service: r.service.Name, Homes: r.homes()})
 	if bar == backend.NotBarred {
 		return nil
 	}
-	return refuseBarred(bar)
+	return refuseIneligible(bar)
 }
 
-// barred returns why a request for which no instance was found need not wait for one.
-func (s *Server) barred(demand backend.Demand, found bool) *backend.Failure {
+// placementFailure returns the failure of a request for which no instance was found and none
+// becomes eligible by waiting, or nil.
+func (s *Server) placementFailure(demand backend.Demand, found bool) *backend.Failure {
 	if found {
 		return nil
 	}
@@ -51,16 +52,16 @@
 	return &backend.Failure{Verdict: verdict.NotRun, Bar: bar, Reason: bar.String()}
 }
 
-// refuseBarred refuses a request that no zone may serve; the code says that it has not run.
-func refuseBarred(bar backend.Bar) *refusal {
+// refuseIneligible refuses a request that no zone may serve; the code states that it has not run.
+func refuseIneligible(bar backend.Bar) *refusal {
 	code := verdict.CodeEvacuated
 	if bar == backend.BarredByHomes {
 		code = verdict.CodeNoHome
 	}
-	return refuseFor(code, barredRetry, bar.String())
+	return refuseFor(code, ineligibleRetry, bar.String())
 }
 
-// EvacuationsChanged replaces the zones whose instances are to get nothing further.
+// EvacuationsChanged replaces the zones whose instances receive no further requests.
 func (s *Server) EvacuationsChanged(zones []string) {
 	returned := s.directory.SetEvacuated(time.Now(), zones)
 	s.evacuationsKnown.Store(true)
@@ -69,9 +70,9 @@
 		Int("running", s.directory.EvacuatedInFlight()).Dur("age", s.stateAge()).Msg("")
 }
 
-// isInformed reports whether enough is known to place requests. It logs once when the list of
-// evacuated zones is overdue, and then does without.
-func (s *Server) isInformed() bool {
+// hasPlacementState reports whether enough is known to place requests. If the list of evacuated
+// zones is overdue, it logs that once and stops requiring the list.
+func (s *Server) hasPlacementState() bool {
 	if !s.instancesKnown.Load() || s.awaitsConfirmation() {
 		return false
 	}
@@ -79,7 +80,7 @@
 		return true
 	}
 	waited := time.Since(s.started) - time.Duration(s.instancesKnownAt.Load())
-	if waited < evacuationsWait {
+	if waited < evacuationsTimeout {
 		return false
 	}
 	if !s.evacuationsKnown.Swap(true) {
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/eligibility_test.go
@@ -16,9 +16,9 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// placed returns a gateway with one instance in zone a of region north, and the number of
-// requests that reached it. Its routes are limited to homes.
-func placed(t *testing.T, homes ...string) (*Server, *atomic.Int64) {
+// newPlacedGateway returns a gateway with one instance in zone a of region north, and the number
+// of requests that reached it. Its routes are limited to homes.
+func newPlacedGateway(t *testing.T, homes ...string) (*Server, *atomic.Int64) {
 	arrived := &atomic.Int64{}
 	instance := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, incoming *http.Request) {
 		arrived.Add(1)
@@ -26,7 +26,7 @@
 		w.WriteHeader(http.StatusTeapot)
 	}))
 	t.Cleanup(instance.Close)
-	s := gatewayOf(t)
+	s := newTestGateway(t)
 	s.dialect.Authorization, s.dialect.Signature = "Authorization", "X-Test-Signature"
 	s.dialect.ExpectedInstance, s.dialect.Tenant = "X-Test-Instance", "X-Test-Tenant"
 	s.directory.UsePlaces(place.Map{"a": "north", "b": "south"})
@@ -48,9 +48,9 @@
 	return s, arrived
 }
 
-// askPlaced sends a request with a deadline far longer than the test waits: one that waited
-// for an instance would hold it up.
-func askPlaced(s *Server, path, key string) *httptest.ResponseRecorder {
+// sendPlacedCall sends a request with a deadline of an hour, so that a request that waited for an
+// instance would time out the test.
+func sendPlacedCall(s *Server, path, key string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "http://apps.test"+path, nil)
 	request.Header.Set(deadlineHeader, "3600000")
 	request.Header.Set("X-Test-Id", "r")
@@ -60,9 +60,9 @@
 	return recorder
 }
 
-// A request that no place may serve is refused at once, is not counted against its tenant's
-// limit, and reaches no instance.
-func TestARequestThatNoPlaceMayServeIsRefusedAtOnce(t *testing.T) {
+// A request that no zone may serve must be refused at once, must not count against its tenant's
+// limit, and must not reach an instance.
+func TestRefusesImmediatelyWhenNoZoneIsEligible(t *testing.T) {
 	cases := []struct {
 		name      string
 		homes     []string
@@ -70,20 +70,20 @@
 		evacuated []string
 		refused   string
 	}{
-		{name: "no rule", key: "free"},
+		{name: "unrestricted", key: "free"},
 		{name: "another zone evacuated", key: "free", evacuated: []string{"b"}},
 		{name: "all evacuated", key: "free", evacuated: []string{"a"}, refused: "zones_evacuated"},
-		{name: "route's home", homes: []string{"north"}, key: "free"},
-		{name: "not the route's home", homes: []string{"south"}, key: "free", refused: "no_instance_in_home_regions"},
-		{name: "not the tenant's home", key: "south", refused: "no_instance_in_home_regions"},
+		{name: "in the route's home", homes: []string{"north"}, key: "free"},
+		{name: "outside the route's home", homes: []string{"south"}, key: "free", refused: "no_instance_in_home_regions"},
+		{name: "outside the tenant's home", key: "south", refused: "no_instance_in_home_regions"},
 		{name: "homes without a common region", homes: []string{"north"}, key: "south", refused: "no_instance_in_home_regions"},
 	}
 	for _, c := range cases {
 		for _, path := range []string{"/call/1", "/look/1", "/stream/1"} {
 			t.Run(c.name+path, func(t *testing.T) {
-				s, arrived := placed(t, c.homes...)
+				s, arrived := newPlacedGateway(t, c.homes...)
 				s.EvacuationsChanged(c.evacuated)
-				answer := askPlaced(s, path, c.key)
+				answer := sendPlacedCall(s, path, c.key)
 				if c.refused == "" {
 					require.Equal(t, int64(1), arrived.Load())
 					return
@@ -97,20 +97,20 @@
 	}
 }
 
-// A gateway that was restarted must not use an evacuated zone before it hears of that; one
-// that can't hear of it, as from copies of an older version, serves after a while.
-func TestAGatewayWaitsToHearOfEvacuations(t *testing.T) {
-	s, arrived := placed(t)
-	require.True(t, s.Ready(), "without evacuations nothing is waited for")
+// A restarted gateway must not use an evacuated zone before it has the list of evacuated zones. If
+// the list does not arrive, as from copies written by an older version, it serves after a timeout.
+func TestNotReadyBeforeEvacuationsAreKnown(t *testing.T) {
+	s, arrived := newPlacedGateway(t)
+	require.True(t, s.Ready(), "without evacuations there is nothing to wait for")
 	s.options.Evacuations = true
 	require.False(t, s.Ready())
-	require.Contains(t, askPlaced(s, "/call/1", "free").Body.String(), "unavailable")
+	require.Contains(t, sendPlacedCall(s, "/call/1", "free").Body.String(), "unavailable")
 	require.Zero(t, arrived.Load())
 	s.EvacuationsChanged(nil)
 	require.True(t, s.Ready())
 
-	late, _ := placed(t)
+	late, _ := newPlacedGateway(t)
 	late.options.Evacuations = true
-	late.started = late.started.Add(-evacuationsWait)
+	late.started = late.started.Add(-evacuationsTimeout)
 	require.True(t, late.Ready())
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -7,27 +7,26 @@
 	"io"
 )
 
-// event is one event of a stream.
+// event is one server-sent event.
 type event struct {
-	// raw is the event as it came, with the empty line that ends it.
+	// raw is the event as received, with the empty line that ends it.
 	raw []byte
 	id  string
-	// data is the content of its data lines.
+	// data is the content of the data lines, joined by newlines.
 	data []byte
 }
 
-// eventReader cuts a stream of events at empty lines. An event that is not whole
-// is never returned.
+// eventReader splits a stream into events at empty lines. It never returns a truncated event.
 type eventReader struct {
 	source *bufio.Reader
 }
 
 func newEventReader(source *bufio.Reader) *eventReader { return &eventReader{source: source} }
 
-// errTruncatedEvent says that the stream ended within an event.
+// errTruncatedEvent reports that the stream ended within an event.
 var errTruncatedEvent = errors.New("the stream ended within an event")
 
-// next returns the next whole event, or io.EOF at the stream's end.
+// next returns the next complete event, or io.EOF at the end of the stream.
 func (r *eventReader) next() (event, error) {
 	var parsed event
 	for {
@@ -47,6 +46,7 @@
 	}
 }
 
+// parseLine adds the fields of one line to the event.
 func (e *event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestEventsAreCutAtEmptyLines(t *testing.T) {
+func TestEventReaderSplitsAtEmptyLines(t *testing.T) {
 	events, err := readEvents("id: 1\ndata: one\n\nx-versions: 3\nid: 2\r\ndata:two\ndata: lines\r\n\r\n")
 	require.Equal(t, io.EOF, err)
 	require.Len(t, events, 2)
@@ -30,7 +30,7 @@
 	require.Equal(t, "two\nlines", string(events[1].data))
 }
 
-func TestAPartialEventIsNeverReturned(t *testing.T) {
+func TestEventReaderRejectsTruncatedEvent(t *testing.T) {
 	for _, tail := range []string{"i", "id: 2", "id: 2\n", "id: 2\ndata: tw"} {
 		events, err := readEvents("id: 1\ndata: one\n\n" + tail)
 		require.Equal(t, errTruncatedEvent, err, tail)
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -11,11 +11,11 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// excessThreshold is the excess from which a tenant is put behind others: below it, the age of what
-// other gateways reported may make up the difference.
+// excessThreshold is the excess from which a tenant is ranked behind others. A smaller excess may
+// come from the age of other gateways' reports alone.
 const excessThreshold = 0.5
 
-// tenantShares is the service that tenants had of late. It is safe for concurrent use.
+// tenantShares tracks the recent service of each tenant. It is safe for concurrent use.
 type tenantShares struct {
 	excess prometheus.Histogram
 
@@ -32,7 +32,7 @@
 	return &tenantShares{excess: excess, shares: fairshare.New()}
 }
 
-// setWeights weighs tenants by the rates of their limits: these are the parts of the service
+// setWeights weighs tenants by the rates of their limits, which are the shares of the service
 // that the operator has granted.
 func (t *tenantShares) setWeights(tenants *tenant.Index) {
 	weights := map[string]float64{}
@@ -46,12 +46,12 @@
 	t.shares.SetWeights(weights)
 }
 
-// sharesFairly reports whether tenants share the request's service fairly while room is short.
+// sharesFairly reports whether tenants share the request's service fairly while capacity is short.
 func (s *Server) sharesFairly(r *request) bool {
-	return s.options.FairShares && r.tenant != nil && s.rationed(r)
+	return s.options.FairShares && r.tenant != nil && s.usesAdmissionControl(r)
 }
 
-// recordTenantService counts the slot time of a request that was answered whole.
+// recordTenantService counts the slot time of a request that was answered completely.
 func (s *Server) recordTenantService(now time.Time, r *request, took time.Duration) {
 	if !s.sharesFairly(r) {
 		return
@@ -62,7 +62,8 @@
 }
 
 // tenantExcess returns how far above its fair share the tenant of a new program is: 0 within
-// it, and for what is not surely above it. Begun programs have none: they are not put behind.
+// its share or below excessThreshold. It is always 0 for programs that have begun, which are not
+// ranked behind others.
 func (s *Server) tenantExcess(r *request) float64 {
 	if !r.firstOfProgram || !s.sharesFairly(r) {
 		return 0
@@ -78,7 +79,7 @@
 	return excess
 }
 
-// excessRank is by how many ranks a tenant above its share is put behind others.
+// excessRank returns the number of ranks by which a tenant above its share is put behind others.
 func excessRank(excess float64) int {
 	if excess > 0 {
 		return 1
@@ -86,10 +87,10 @@
 	return 0
 }
 
-// ShareSection returns the part of the load reports that tells of the service of tenants.
+// ShareSection returns the section of the load reports for the service of tenants.
 func (s *Server) ShareSection() reportSection { return &shareSection{shares: s.shares} }
 
-// shareSection reports the service that tenants had.
+// shareSection reports the service that tenants received.
 type shareSection struct {
 	shares   *tenantShares
 	versions newestVersions
--- a/internal/gateway/fairshare_test.go
+++ b/internal/gateway/fairshare_test.go
@@ -13,34 +13,34 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-func sharesOf() *tenantShares {
+func newTestShares() *tenantShares {
 	return newTenantShares(&Metrics{Registry: prometheus.NewRegistry()})
 }
 
-// What one gateway served puts the tenant's new programs behind at another one, by way of a
-// report; a report that comes again, later than the next one, changes nothing.
-func TestATenantAboveItsShareGoesAfterOthers(t *testing.T) {
-	here, there := sharesOf(), sharesOf()
+// Service reported by one gateway lowers the rank of the tenant's new programs at another one. An
+// older report that is received after a newer one is ignored.
+func TestTenantAboveFairShareRanksBehindOthers(t *testing.T) {
+	here, there := newTestShares(), newTestShares()
 	now := time.Now()
 	there.shares.Served(now, "hot", 900*time.Millisecond)
 	there.shares.Served(now, "calm", 100*time.Millisecond)
 	section := (&Server{shares: here}).ShareSection()
 	source := tally.Source{Gateway: "there"}
 	section.apply(now, source, tally.Version{Number: 2}, (&shareSection{shares: there}).ownFigures(now))
-	section.apply(now, source, tally.Version{Number: 1}, (&shareSection{shares: sharesOf()}).ownFigures(now))
+	section.apply(now, source, tally.Version{Number: 1}, (&shareSection{shares: newTestShares()}).ownFigures(now))
 	s := &Server{shares: here, options: Options{LoadControl: true, FairShares: true}}
-	of := func(name string, first bool) float64 {
+	excess := func(name string, first bool) float64 {
 		return s.tenantExcess(&request{tenant: &tenant.Tenant{Name: name}, firstOfProgram: first, service: route.Service{Generates: true}})
 	}
-	require.InDelta(t, 0.8, of("hot", true), 0.05)
-	require.Zero(t, of("hot", false), "a begun program is not put behind")
-	require.Zero(t, of("calm", true))
+	require.InDelta(t, 0.8, excess("hot", true), 0.05)
+	require.Zero(t, excess("hot", false), "a begun program keeps its rank")
+	require.Zero(t, excess("calm", true))
 	s.options.FairShares = false
-	require.Zero(t, of("hot", true))
+	require.Zero(t, excess("hot", true))
 }
 
-func TestAReportOfSharesIsSmall(t *testing.T) {
-	shares := sharesOf()
+func TestShareReportSizeIsBounded(t *testing.T) {
+	shares := newTestShares()
 	now := time.Now()
 	for number := range 9700 {
 		shares.shares.Served(now, fmt.Sprint("tenant-", number), time.Duration(number)*time.Millisecond)
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -26,45 +26,47 @@
 )
 
 const (
-	// gossipInterval is how often a gateway tells the others of its load, when that has
-	// changed; gossipRefresh is when it does so anyway.
+	// gossipInterval is how often a gateway reports its load when it has changed;
+	// gossipRefresh is how often it does so when it has not.
 	gossipInterval = 50 * time.Millisecond
 	gossipRefresh  = 500 * time.Millisecond
-	// neighbourFanout and remoteFanout bound the gateways of the own zone and of the region's
-	// other zones that hear of it each time; the others hear the next ones. So a gateway sends
-	// at most 60 datagrams a second, however many gateways there are.
+	// neighbourFanout and remoteFanout bound the gateways of the own zone, and of the region's
+	// other zones, that receive each report; the next report goes to the next gateways in
+	// round-robin order. So a gateway sends at most 60 datagrams a second, regardless of the
+	// number of gateways.
 	neighbourFanout = 2
 	remoteFanout    = 1
-	// crossRegionInterval is how often a zone is told of in each zone of other regions, where its
-	// load matters to a program that must leave its own region; speakers is how many gateways
-	// of the zone do so, for one may be cut off. Over a link that all regions share, a report
-	// to any gateway by any other would cost more than all turns do.
+	// crossRegionInterval is how often a zone reports to each zone of other regions, where its
+	// load matters to a program that must leave its own region. zoneReporters is the number of
+	// gateways of the zone that do so: more than one, because one may be partitioned. If every
+	// gateway reported to every other one over the shared link between regions, the reports
+	// would cost more than all turns do.
 	crossRegionInterval = 500 * time.Millisecond
-	zoneReporters        = 2
-	// datagramBytes bounds one datagram.
+	zoneReporters       = 2
+	// datagramBytes is the maximum size of a datagram.
 	datagramBytes = 60 << 10
 )
 
-// loadReport is one datagram: requests in flight by instance. To its own zone a
-// gateway tells what it has itself, to other zones what its whole zone has as far as
-// it knows.
+// loadReport is one datagram with the requests in flight by instance. To its own zone a
+// gateway reports its own requests, to other zones those of its whole zone as far as it
+// knows them.
 type loadReport struct {
 	Gateway string
-	// Zone is set in a report of a whole zone.
+	// Zone is set in a report on a whole zone.
 	Zone  string
 	Loads map[string]int
-	// Passed is set in a report of another region that a neighbour forwards: it is not
+	// Passed is set in a report from another region that a neighbour forwarded. It is not
 	// forwarded again.
 	Passed bool
-	// Version orders the reports of one gateway; Sections holds the figures of features.
+	// Version orders the reports of one gateway; Sections holds the encoded figures by section.
 	Version  tally.Version
 	Sections map[string][]byte
-	// Learned is set in what a cache sends, and nothing else is then.
+	// Learned is set in a message from a cache, in which all other fields are empty.
 	Learned *learned.Message
 }
 
-// Gossip shares the load that each gateway puts on the instances, so that gateways
-// that place alone do not all choose the same one.
+// Gossip exchanges the load that each gateway puts on the instances, so that gateways, which
+// place requests independently, do not all select the same instance.
 type Gossip struct {
 	node      string
 	zone      string
@@ -72,45 +74,47 @@
 	directory *backend.Directory
 	traffic   *traffic.Counter
 
-	// sections are the parts of the reports that belong to features; sent numbers the reports.
-	sections []reportSection
-	reportsSent     uint64
-	// caches are the replicas that keep what was learned; nil for none.
+	// sections are the parts of the reports that belong to features; reportsSent numbers the
+	// reports.
+	sections    []reportSection
+	reportsSent uint64
+	// caches are the replicas that store learned state; nil if there are none.
 	caches *learnedCaches
 
-	// heardAt is when a report last came, since started; others is how many gateways
-	// there are besides this one.
-	started time.Time
+	// receivedAt is when the last report was received, as a duration since started; peerCount
+	// is the number of other gateways.
+	started    time.Time
 	receivedAt atomic.Int64
 	peerCount  atomic.Int64
 
 	mu         sync.Mutex
 	neighbours rotation
 	// remotes holds the gateways of the region's other zones, and a nil address for each
-	// gateway of another region: a turn in which nothing is sent.
+	// gateway of another region: an empty slot, in which nothing is sent.
 	remotes rotation
-	// otherRegions holds the gateways of each zone of other regions; speaks is set on the
+	// otherRegions holds the gateways of each zone of other regions; reportsZone is set on the
 	// gateways that report there.
 	otherRegions map[string]*rotation
 	reportsZone  bool
 }
 
-// gossipTimeout is how long no gateway may be heard of before all are out of reach:
-// some gateway reports each gossipRefresh.
+// gossipTimeout is how long no report may be received before the other gateways count as
+// unreachable: some gateway reports at least every gossipRefresh.
 const gossipTimeout = 2 * time.Second
 
-// PeersTimedOut reports whether there are other gateways and none has been heard of lately.
+// PeersTimedOut reports whether there are other gateways and no report of any was received
+// within gossipTimeout.
 func (g *Gossip) PeersTimedOut(now time.Time) bool {
 	return g.peerCount.Load() > 0 && now.Sub(g.started)-time.Duration(g.receivedAt.Load()) > gossipTimeout
 }
 
-// rotation hands out its addresses in turn.
+// rotation returns its addresses in round-robin order.
 type rotation struct {
 	addresses []net.Addr
 	next      int
 }
 
-// nextAddresses returns up to count addresses, each in its turn.
+// nextAddresses returns up to count addresses and advances the rotation past them.
 func (r *rotation) nextAddresses(count int) []net.Addr {
 	count = min(count, len(r.addresses))
 	taken := make([]net.Addr, 0, count)
@@ -121,12 +125,12 @@
 	return taken
 }
 
-// NewGossip returns the gossip of a gateway.
+// NewGossip returns the gossip of the gateway named node.
 func NewGossip(node, zone string, places place.Map, directory *backend.Directory, counter *traffic.Counter) *Gossip {
 	return &Gossip{node: node, zone: zone, places: places, directory: directory, traffic: counter, started: time.Now()}
 }
 
-// SetGateways replaces the other gateways by those that the registry lists.
+// SetGateways replaces the gateways to report to by those that the registry lists.
 func (g *Gossip) SetGateways(nodes map[string]replicaset.Node) {
 	var neighbours, remotes []net.Addr
 	distant := map[string]*rotation{}
@@ -151,8 +155,8 @@
 				distant[node.Zone] = &rotation{}
 			}
 			distant[node.Zone].addresses = append(distant[node.Zone].addresses, address)
-			// Without an empty turn for it, the own region's gateways would be told more often
-			// than their decisions need.
+			// Without an empty slot for it, the own region's gateways would receive reports more
+			// often than their decisions need.
 			remotes = append(remotes, nil)
 		}
 	}
@@ -166,14 +170,14 @@
 	g.otherRegions, g.reportsZone = distant, rank < zoneReporters
 }
 
-// shuffleEmptySlots shuffles the empty turns among the others, in an order of this gateway's
-// own: if all gateways skipped the same turns, they would be believed to have no load.
+// shuffleEmptySlots shuffles the empty slots among the others, in an order specific to this
+// gateway: if all gateways skipped the same slots, they would seem to have no load.
 func (g *Gossip) shuffleEmptySlots(remotes []net.Addr) {
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(g.node), uint64(len(remotes))))
 	random.Shuffle(len(remotes), func(i, j int) { remotes[i], remotes[j] = remotes[j], remotes[i] })
 }
 
-// Run sends and receives until the context ends.
+// Run sends and receives reports on the address until the context ends.
 func (g *Gossip) Run(ctx context.Context, address string) error {
 	var config net.ListenConfig
 	socket, err := config.ListenPacket(ctx, "udp", address)
@@ -191,20 +195,21 @@
 	return nil
 }
 
+// send reports this gateway's load until the context ends.
 func (g *Gossip) send(ctx context.Context, socket net.PacketConn) {
-	var last map[string]int
+	var lastLoads map[string]int
 	var sentAt, distantAt time.Time
-	for g.awaitLoadChange(ctx, len(last) > 0) {
+	for g.awaitLoadChange(ctx, len(lastLoads) > 0) {
 		now := time.Now()
 		if now.Sub(distantAt) >= crossRegionInterval {
 			distantAt = now
 			g.sendTo(socket, g.nextOtherRegions(), g.zoneReport(now))
 		}
 		loads := g.directory.Loads(now)
-		if maps.Equal(loads, last) && now.Sub(sentAt) < gossipRefresh {
+		if maps.Equal(loads, lastLoads) && now.Sub(sentAt) < gossipRefresh {
 			continue
 		}
-		last, sentAt = loads, now
+		lastLoads, sentAt = loads, now
 		g.mu.Lock()
 		neighbours, remotes := g.neighbours.nextAddresses(neighbourFanout), g.remotes.nextAddresses(remoteFanout)
 		g.mu.Unlock()
@@ -213,22 +218,23 @@
 	}
 }
 
-// zoneReport returns what another zone is told.
+// zoneReport returns the report for another zone.
 func (g *Gossip) zoneReport(now time.Time) loadReport {
 	return loadReport{
 		Gateway: g.node, Zone: g.zone, Loads: g.directory.ZoneLoads(now), Version: g.nextVersion(), Sections: g.zoneSections(now),
 	}
 }
 
-// nextVersion numbers a report. Only the sending goroutine calls it.
+// nextVersion returns the version of the next report. Only the sending goroutine may call it.
 func (g *Gossip) nextVersion() tally.Version {
 	g.reportsSent++
 	return tally.Version{Started: g.started.UnixNano(), Number: g.reportsSent}
 }
 
-// awaitLoadChange waits until this gateway's load may have changed: for gossipInterval while requests
-// are in flight, and else until one is placed, but not past gossipRefresh. A gateway of a large
-// fleet has none most of the time, and would wake up twenty times a second for nothing.
+// awaitLoadChange waits until this gateway's load may have changed: for gossipInterval while
+// requests are in flight, otherwise until one is placed, but no longer than gossipRefresh. In a
+// large fleet most gateways are idle most of the time, and polling would wake each of them
+// twenty times a second. It reports whether the context is still active.
 func (g *Gossip) awaitLoadChange(ctx context.Context, busy bool) bool {
 	if !wait.For(ctx, gossipInterval) {
 		return false
@@ -246,7 +252,8 @@
 	return ctx.Err() == nil
 }
 
-// nextOtherRegions returns one gateway of each zone of other regions, if this one reports there.
+// nextOtherRegions returns one gateway of each zone of other regions if this gateway reports
+// there, else nil.
 func (g *Gossip) nextOtherRegions() []net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -260,8 +267,8 @@
 	return taken
 }
 
-// forward forwards a report of another region to all gateways of the own zone: it was sent to
-// one of them only.
+// forward sends a report from another region to all gateways of the own zone: the sender sent it
+// to one of them only.
 func (g *Gossip) forward(socket net.PacketConn, report loadReport) {
 	if report.Passed || report.Zone == "" || g.places.Distance(g.zone, report.Zone) != place.OtherRegion {
 		return
@@ -311,8 +318,8 @@
 	}
 }
 
-// apply applies one report. A report of the own zone is what its gateways say
-// themselves.
+// apply records a received report. A report on the own zone is ignored: its gateways report
+// their loads themselves.
 func (g *Gossip) apply(now time.Time, report loadReport) {
 	g.receivedAt.Store(int64(now.Sub(g.started)))
 	g.applySections(now, report)
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -15,13 +15,13 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-func gossipOf(node, zone string) *Gossip {
+func newTestGossip(node, zone string) *Gossip {
 	directory := backend.NewDirectory(zone)
 	directory.Change(time.Unix(1000, 0), backend.Changes{All: true, Listed: []backend.Instance{{ID: "e", Service: "llm", Slots: 8}}}, false)
 	return NewGossip(node, zone, nil, directory, nil)
 }
 
-// believedLoad returns the load that a placement finds at the only instance.
+// believedLoad returns the load that a placement reports for the only instance.
 func believedLoad(t *testing.T, g *Gossip) int {
 	choice, found := g.directory.Pick(time.Unix(1000, 0), backend.Demand{Service: "llm"})
 	require.True(t, found)
@@ -29,43 +29,43 @@
 	return choice.Load
 }
 
-func TestAZoneIsHeardOfByAnyOfItsGateways(t *testing.T) {
+func TestGossipAcceptsZoneReportFromAnyOfItsGateways(t *testing.T) {
 	now := time.Unix(1000, 0)
-	g := gossipOf("a1", "a")
+	g := newTestGossip("a1", "a")
 	g.apply(now, loadReport{Gateway: "a2", Loads: map[string]int{"e": 2}})
 	g.apply(now, loadReport{Gateway: "b1", Zone: "b", Loads: map[string]int{"e": 5}})
 	g.apply(now, loadReport{Gateway: "b2", Zone: "b", Loads: map[string]int{"e": 4}})
-	require.Equal(t, 6, believedLoad(t, g), "two of a2, and the newest word of zone b")
+	require.Equal(t, 6, believedLoad(t, g), "two of a2, and the last report of zone b")
 	g.apply(now, loadReport{Gateway: "a3", Zone: "a", Loads: map[string]int{"e": 9}})
-	require.Equal(t, 6, believedLoad(t, g), "the own zone is not counted twice")
-	require.Equal(t, map[string]int{"e": 2}, g.directory.ZoneLoads(time.Unix(1000, 0)), "what other zones have is not passed on as the own zone's")
+	require.Equal(t, 6, believedLoad(t, g), "the own zone must not be counted twice")
+	require.Equal(t, map[string]int{"e": 2}, g.directory.ZoneLoads(time.Unix(1000, 0)), "other zones' load must not be reported as the own zone's")
 }
 
-func TestReportsStayFewHoweverManyGatewaysThereAre(t *testing.T) {
+func TestGossipFanoutIsIndependentOfFleetSize(t *testing.T) {
 	for _, gateways := range []int{2, 8, 51, 890} {
-		g := gossipOf("g0", "z0")
+		g := newTestGossip("g0", "z0")
 		nodes := map[string]replicaset.Node{}
 		for i := range gateways {
 			name := fmt.Sprintf("g%d", i)
 			nodes[name] = replicaset.Node{Name: name, Zone: fmt.Sprintf("z%d", i%4), Address: fmt.Sprintf("127.0.0.1:%d", 1000+i)}
 		}
 		g.SetGateways(nodes)
-		heard := map[string]bool{}
+		reached := map[string]bool{}
 		for range 4 * gateways {
 			neighbours, remotes := g.neighbours.nextAddresses(neighbourFanout), g.remotes.nextAddresses(remoteFanout)
 			require.LessOrEqual(t, len(neighbours)+len(remotes), neighbourFanout+remoteFanout)
 			for _, address := range append(neighbours, remotes...) {
-				heard[address.String()] = true
+				reached[address.String()] = true
 			}
 		}
-		require.Len(t, heard, gateways-1, "each gateway hears in its turn")
+		require.Len(t, reached, gateways-1, "each gateway receives reports in round-robin order")
 	}
 }
 
-func TestAGatewayThatHearsOfNoOtherIsAlone(t *testing.T) {
-	g := gossipOf("a1", "a")
+func TestPeersTimedOut(t *testing.T) {
+	g := newTestGossip("a1", "a")
 	now := g.started
-	require.False(t, g.PeersTimedOut(now.Add(time.Hour)), "there are no others")
+	require.False(t, g.PeersTimedOut(now.Add(time.Hour)), "there are no other gateways")
 	g.SetGateways(map[string]replicaset.Node{"a1": {Name: "a1", Zone: "a", Address: "127.0.0.1:1"}, "b1": {Name: "b1", Zone: "b", Address: "127.0.0.1:2"}})
 	require.False(t, g.PeersTimedOut(now.Add(gossipRefresh)), "the others may not have reported yet")
 	require.True(t, g.PeersTimedOut(now.Add(2*gossipTimeout)))
@@ -73,31 +73,31 @@
 	require.False(t, g.PeersTimedOut(now.Add(2*gossipTimeout+gossipRefresh)))
 }
 
-func TestAnotherRegionHearsOfAZoneByFewGateways(t *testing.T) {
+func TestFewGatewaysReportToOtherRegions(t *testing.T) {
 	places := place.Map{"a": "east", "b": "east", "c": "west", "d": "west"}
 	nodes := map[string]replicaset.Node{}
 	for i := range 40 {
 		name := fmt.Sprintf("g%02d", i)
 		nodes[name] = replicaset.Node{Name: name, Zone: string("abcd"[i%4]), Address: fmt.Sprintf("127.0.0.1:%d", 1000+i)}
 	}
-	speaking := 0
+	reporting := 0
 	for name, node := range nodes {
-		g := gossipOf(name, node.Zone)
+		g := newTestGossip(name, node.Zone)
 		g.places = places
 		g.SetGateways(nodes)
-		told := slices.DeleteFunc(slices.Clone(g.remotes.addresses), func(a net.Addr) bool { return a == nil })
-		require.Len(t, told, 10, "the region's other zone")
-		require.Len(t, g.remotes.addresses, 30, "as often as among all zones")
+		remotes := slices.DeleteFunc(slices.Clone(g.remotes.addresses), func(a net.Addr) bool { return a == nil })
+		require.Len(t, remotes, 10, "the region's other zone")
+		require.Len(t, g.remotes.addresses, 30, "one slot per gateway outside the own zone")
 		if reached := g.nextOtherRegions(); len(reached) > 0 {
-			speaking++
+			reporting++
 			require.Len(t, reached, 2, "one in each zone of the other region")
-			require.NotEqual(t, reached, g.nextOtherRegions(), "each in its turn")
+			require.NotEqual(t, reached, g.nextOtherRegions(), "round-robin")
 		}
 	}
-	require.Equal(t, 4*zoneReporters, speaking)
+	require.Equal(t, 4*zoneReporters, reporting)
 }
 
-// datagrams keeps what is sent.
+// datagrams records the destinations of sent datagrams.
 type datagrams struct {
 	net.PacketConn
 	to []string
@@ -108,8 +108,8 @@
 	return len(content), nil
 }
 
-func TestAReportOfAnotherRegionIsPassedOnOnce(t *testing.T) {
-	g := gossipOf("a1", "a")
+func TestCrossRegionReportIsForwardedOnce(t *testing.T) {
+	g := newTestGossip("a1", "a")
 	g.places = place.Map{"a": "east", "b": "east", "c": "west"}
 	g.SetGateways(map[string]replicaset.Node{
 		"a1": {Name: "a1", Zone: "a", Address: "127.0.0.1:1"}, "a2": {Name: "a2", Zone: "a", Address: "127.0.0.1:2"},
@@ -117,18 +117,18 @@
 	})
 	socket := &datagrams{}
 	g.forward(socket, loadReport{Gateway: "c1", Zone: "c"})
-	require.Equal(t, []string{"127.0.0.1:2"}, socket.to, "to the own zone")
+	require.Equal(t, []string{"127.0.0.1:2"}, socket.to, "only to the own zone")
 	g.forward(socket, loadReport{Gateway: "c1", Zone: "c", Passed: true})
 	g.forward(socket, loadReport{Gateway: "b1", Zone: "b"})
 	g.forward(socket, loadReport{Gateway: "a2"})
-	require.Len(t, socket.to, 1, "neither twice, nor what its own region hears itself")
+	require.Len(t, socket.to, 1, "neither a forwarded report, nor one of the own region")
 }
 
-// A gateway without requests wakes up as often as its report is refreshed; one with requests
-// looks for changes more often, and the first request ends its rest at once.
-func TestAGatewayAtRestSeldomWakesUp(t *testing.T) {
+// An idle gateway wakes up only as often as its report is refreshed, a busy one each
+// gossipInterval. The first request wakes an idle gateway at once.
+func TestIdleGatewayWakesOnlyToRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := gossipOf("g", "z")
+		g := newTestGossip("g", "z")
 		turns := func(busy bool, span time.Duration) int {
 			count := 0
 			for began := time.Now(); time.Since(began) < span; count++ {
--- a/internal/gateway/heldmemory.go
+++ b/internal/gateway/heldmemory.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// requestOverheadBytes is what a request holds besides its body and its answer: its goroutines'
-	// stacks, and the buffers of its two connections.
+	// requestOverheadBytes is the memory of a request besides its body and its answer: its
+	// goroutines' stacks, and the buffers of its two connections.
 	requestOverheadBytes = 32 << 10
-	// bodyCopies is how often a request's body is held: as it came, and as it is sent.
+	// bodyCopies is the number of copies of a request's body in memory: as received and as sent.
 	bodyCopies = 2
-	// defaultUnreadTimeout is how long a caller may leave what is written to it unread, and how long it may
-	// take for a body, before its connection is closed: longer than networks stall, and than
-	// instances wait for a reader.
+	// defaultUnreadTimeout is how long a caller may leave written data unread, and how long it may
+	// take to send a body, before its connection is closed. It is longer than networks stall, and
+	// longer than instances wait for a reader.
 	defaultUnreadTimeout = 30 * time.Second
 )
 
-// heldMemory counts the bytes that the gateway holds for its callers. It is safe for concurrent
-// use.
+// heldMemory accounts for the bytes that the gateway holds for its callers. It is safe for
+// concurrent use.
 type heldMemory struct {
 	mu     sync.Mutex
 	budget *memorybudget.Budget
 }
 
-// newHeldMemory returns the count of a gateway that may hold so many bytes; nil, which bounds
-// nothing, for 0.
+// newHeldMemory returns the account of a gateway that may hold the given number of bytes, or
+// nil, which bounds nothing, for 0.
 func newHeldMemory(bytes int64) *heldMemory {
 	if bytes <= 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return &heldMemory{budget: memorybudget.New(memorybudget.LimitsOf(bytes))}
 }
 
-// held returns how many bytes are held, for the metrics.
+// held returns the number of bytes held, for the metrics.
 func (m *heldMemory) held() float64 {
 	if m == nil {
 		return 0
@@ -51,13 +51,13 @@
 	return float64(m.budget.Held())
 }
 
-// holding is what one request holds; nil where nothing is bounded.
+// holding is the memory of one request; nil where memory is not bounded.
 type holding struct {
 	memory *heldMemory
 	held   *memorybudget.Holding
 }
 
-// grow counts further bytes, unless they do not fit.
+// grow adds bytes to the holding unless that exceeds a bound, which it then returns.
 func (h *holding) grow(bytes int) memorybudget.Bound {
 	if h == nil {
 		return memorybudget.Within
@@ -67,6 +67,7 @@
 	return h.held.Grow(int64(bytes))
 }
 
+// release returns the holding's bytes to the budget.
 func (h *holding) release() {
 	if h == nil {
 		return
@@ -76,14 +77,14 @@
 	h.held.Release()
 }
 
-// memoryError says that the bytes of a request do not fit.
+// memoryError reports that the bytes of a request exceed a bound on memory.
 type memoryError struct{ bound memorybudget.Bound }
 
 func (e *memoryError) Error() string {
 	return "the memory for callers is used up, bound: " + e.bound.String()
 }
 
-// accountingReader counts each byte that is read from a source copies times.
+// accountingReader accounts for each byte read from its source copies times.
 type accountingReader struct {
 	source io.Reader
 	held   *holding
@@ -98,14 +99,14 @@
 	return read, err
 }
 
-// boundsMemory reports whether what is held for the request is bounded: where load control
-// decides about any service that it may go to.
+// boundsMemory reports whether the request's memory is bounded: where load control applies to
+// any service that the request may go to.
 func (s *Server) boundsMemory(r *request) bool {
 	controlled := func(target route.Target) bool { return r.table.StreamAttempts(target.Service) > 1 }
 	return s.held != nil && (s.options.LoadControl || slices.ContainsFunc(r.route.Targets, controlled))
 }
 
-// holdRequestMemory counts a request that begins with its header, or refuses it.
+// holdRequestMemory accounts for the request's overhead and header, or refuses the request.
 func (s *Server) holdRequestMemory(r *request, headerBytes int) *refusal {
 	if !s.boundsMemory(r) {
 		return nil
@@ -121,7 +122,7 @@
 }
 
 // readBody reads a request's body of up to limit bytes, as far as there is memory for it. After
-// a failure the limit of time stays: the server reads what is left of the body.
+// a failure the read deadline stays in place: the server still reads the rest of the body.
 func (s *Server) readBody(w http.ResponseWriter, r *request, incoming *http.Request, limit int64) ([]byte, *refusal) {
 	s.setReadDeadline(w, r, time.Now().Add(s.unreadTimeout))
 	source := http.MaxBytesReader(w, incoming.Body, limit)
@@ -137,36 +138,39 @@
 	case errors.As(err, &outOfMemory):
 		return nil, s.refuseForMemory(r, outOfMemory.bound)
 	default:
-		return nil, &refusal{status: http.StatusBadRequest, code: verdict.CodeBadRequest, reason: "the body ended early"}
+		return nil, &refusal{status: http.StatusBadRequest, code: verdict.CodeBadRequest, reason: "the body is incomplete"}
 	}
 }
 
-// refuseForMemory refuses a request that has not run for lack of memory: another gateway may have
-// some.
+// refuseForMemory refuses a request that has not run because memory is exhausted. Another gateway
+// may have memory left.
 func (s *Server) refuseForMemory(r *request, bound memorybudget.Bound) *refusal {
 	s.logMemoryBound(r, bound, false)
 	return refuseFor(verdict.CodeOverloaded, otherGatewayRetry, "the gateway has no memory left for the request")
 }
 
-// logMemoryBound writes which bound of memory ended a request; ran says whether it may have run.
+// logMemoryBound logs and counts which memory bound ended a request; ran reports whether the
+// request may have run.
 func (s *Server) logMemoryBound(r *request, bound memorybudget.Bound, ran bool) {
 	s.metrics.memoryBound.WithLabelValues(bound.String()).Inc()
 	s.log.Warn().Str("event", "memory_bound").Str("id", r.id).Str("tenant", r.tenantName()).Str("bound", bound.String()).
 		Bool("ran", ran).Float64("held_bytes", s.held.held()).Int64("in_flight", s.inFlight.Load()).Msg("")
 }
 
-// extendWriteDeadline gives a caller time to read what is written next. Without a limit a caller that
-// reads nothing would hold its request, and the connection to its instance, for good.
+// extendWriteDeadline gives the caller unreadTimeout to read what is written next. Without a
+// deadline a caller that reads nothing would hold its request, and the connection to its
+// instance, forever.
 func (s *Server) extendWriteDeadline(w http.ResponseWriter, r *request) {
 	s.logDeadlineError(r, http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.unreadTimeout)))
 }
 
-// setReadDeadline bounds how long a caller may take for a body; zero lifts the limit.
+// setReadDeadline bounds how long a caller may take to send a body; the zero time removes the
+// deadline.
 func (s *Server) setReadDeadline(w http.ResponseWriter, r *request, deadline time.Time) {
 	s.logDeadlineError(r, http.NewResponseController(w).SetReadDeadline(deadline))
 }
 
-// logDeadlineError writes that a caller's connection took no limit of time.
+// logDeadlineError logs that a deadline could not be set on a caller's connection.
 func (s *Server) logDeadlineError(r *request, err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		s.log.Warn().Str("event", "caller_unlimited").Str("id", r.id).Err(err).Msg("")
--- a/internal/gateway/instanceruns_test.go
+++ b/internal/gateway/instanceruns_test.go
@@ -7,30 +7,30 @@
 )
 
 // A request must not run on more instances than its route allows.
-func TestARequestStaysWithTheInstancesThatRanIt(t *testing.T) {
+func TestInstanceRunsLimitsInstancesPerRequest(t *testing.T) {
 	type step struct {
-		ran         string
-		gaveNothing bool
-		only        string
+		instance   string
+		noProgress bool
+		required   string
 	}
 	for name, test := range map[string]struct {
 		attempts int
 		steps    []step
 	}{
-		"one instance, which gives nothing": {1, []step{{ran: "a", only: "a"}, {ran: "a", gaveNothing: true, only: "a"}}},
-		"two instances that break off": {2, []step{
-			{ran: "a", only: ""}, {ran: "b", only: "b"}, {ran: "b", gaveNothing: true, only: "a"}, {ran: "a", gaveNothing: true, only: "b"},
+		"one instance without progress": {1, []step{{instance: "a", required: "a"}, {instance: "a", noProgress: true, required: "a"}}},
+		"two instances that fail": {2, []step{
+			{instance: "a", required: ""}, {instance: "b", required: "b"}, {instance: "b", noProgress: true, required: "a"}, {instance: "a", noProgress: true, required: "b"},
 		}},
-		"the same one twice":              {2, []step{{ran: "a"}, {ran: "a", only: ""}, {ran: "b", only: "b"}}},
-		"one more, for the last was gone": {1, []step{{ran: "a", only: "a"}, {ran: "b", only: "b"}}},
-		"a route that names no bound":     {0, []step{{ran: "a", only: "a"}}},
+		"same instance twice":            {2, []step{{instance: "a"}, {instance: "a", required: ""}, {instance: "b", required: "b"}}},
+		"replacement of a lost instance": {1, []step{{instance: "a", required: "a"}, {instance: "b", required: "b"}}},
+		"route without a bound":          {0, []step{{instance: "a", required: "a"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runs := instanceRuns{attempts: test.attempts}
-			require.Empty(t, runs.requiredInstance(false), "nothing ran yet")
+			require.Empty(t, runs.requiredInstance(false), "no instance has run it yet")
 			for _, step := range test.steps {
-				runs.add(step.ran)
-				require.Equal(t, step.only, runs.requiredInstance(step.gaveNothing))
+				runs.add(step.instance)
+				require.Equal(t, step.required, runs.requiredInstance(step.noProgress))
 			}
 		})
 	}
--- a/internal/gateway/instancespeed.go
+++ b/internal/gateway/instancespeed.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// speedReportSpacing times the number of sources is the least time between two reports of speeds, so
-	// that the traffic of one gateway does not grow with the fleet.
+	// speedReportSpacing times the number of sources is the minimum interval between two reports of
+	// speeds, so that the traffic of one gateway does not grow with the fleet.
 	speedReportSpacing = 4 * time.Millisecond
-	// maxSpeedEntries bounds what one report tells of instances' speeds: 12 bytes each.
+	// maxSpeedEntries bounds the speeds in one report: 12 bytes each.
 	maxSpeedEntries = 24
-	// speedReviewInterval is how often the believed speeds are compared with those logged last.
+	// speedReviewInterval is how often the estimated speeds are compared with those logged last.
 	speedReviewInterval = time.Second
-	// maxLoggedSpeedChanges bounds the lines that one comparison writes.
+	// maxLoggedSpeedChanges bounds the log lines of one comparison.
 	maxLoggedSpeedChanges = 8
 )
 
-// placesByExpectedEnd reports whether the request goes where it is expected to end soonest: where
-// load control decides about its service, and for plain services where it does so about the
-// streams that they serve beside.
+// placesByExpectedEnd reports whether the request goes to the instance where it is expected to
+// end soonest: where load control applies to its service, and for plain services where it
+// applies to the streams that they serve alongside.
 func (s *Server) placesByExpectedEnd(r *request) bool {
 	if !s.options.InstanceSpeeds {
 		return false
@@ -39,16 +39,16 @@
 	return s.options.LoadControl || r.table.MostStreamAttempts() > 1
 }
 
-// speedSection tells other gateways what this one observed of instances' speeds. It sends nothing
-// where no request is placed by its expected end.
+// speedSection reports the instance speeds that this gateway observed. It sends nothing where no
+// request is placed by its expected end.
 type speedSection struct {
 	directory *backend.Directory
 	review    *speedReview
-	// ownReportedAt and zoneReportedAt are when each kind of report last told of speeds.
+	// ownReportedAt and zoneReportedAt are when each kind of report last contained speeds.
 	ownReportedAt, zoneReportedAt time.Time
 }
 
-// NewSpeedSection returns the section of the load reports for instances' speeds.
+// NewSpeedSection returns the section of the load reports for instance speeds.
 func NewSpeedSection(directory *backend.Directory, log *log.Logger, metrics *Metrics) reportSection {
 	return &speedSection{directory: directory, review: newSpeedReview(log, metrics)}
 }
@@ -66,7 +66,8 @@
 	return s.report(now, true, &s.zoneReportedAt)
 }
 
-// report returns what is told, unless the last report that did so went out moments ago.
+// report returns the encoded speeds, or nil if the last report that contained them, at
+// *reportedAt, is too recent.
 func (s *speedSection) report(now time.Time, wholeZone bool, reportedAt *time.Time) []byte {
 	if now.Sub(*reportedAt) < time.Duration(s.directory.SpeedReporters())*speedReportSpacing {
 		return nil
@@ -85,27 +86,28 @@
 	s.directory.TakeSpeeds(now, source, version, entries)
 }
 
-// speedReview logs instances whose believed speed changes its class. It is used by the goroutine
-// that sends reports only.
+// speedReview logs instances whose estimated speed changes its class. Only the goroutine that
+// sends reports may use it.
 type speedReview struct {
-	log     *log.Logger
-	metrics *Metrics
-	reviewedAt      time.Time
-	classes map[string]speedClass
+	log        *log.Logger
+	metrics    *Metrics
+	reviewedAt time.Time
+	classes    map[string]speedClass
 }
 
 func newSpeedReview(log *log.Logger, metrics *Metrics) *speedReview {
 	return &speedReview{log: log, metrics: metrics, classes: map[string]speedClass{}}
 }
 
-// speedClass is a range of speeds in steps of a half: 0 is usual speed, 1 is slower by about 1.5.
+// speedClass is a range of speeds in logarithmic steps: 0 is the usual speed, 1 is slower by a
+// factor of about 1.5.
 type speedClass int
 
-// classify returns the class of a belief. It stays what it was until the belief is well within
-// another class.
+// classify returns the class of an estimated slowness. The class changes only once the estimate
+// is well within another class.
 func classify(slowness float64, previous speedClass) speedClass {
 	const (
-		step = 0.4 // about a factor of 1.5, as a logarithm
+		step       = 0.4 // about a factor of 1.5, as a logarithm
 		hysteresis = 0.75
 	)
 	if math.Abs(slowness/step-float64(previous)) < hysteresis {
@@ -116,7 +118,7 @@
 
 func (v *speedReview) isDue(now time.Time) bool { return now.Sub(v.reviewedAt) >= speedReviewInterval }
 
-// compare compares the believed speeds with those logged last.
+// compare logs which estimated speeds differ from those logged last.
 func (v *speedReview) compare(now time.Time, speeds []backend.SpeedOf) {
 	v.reviewedAt = now
 	logged := 0
@@ -128,7 +130,7 @@
 			logged++
 			v.logChange(speed, previous, class)
 		} else {
-			class = previous // a change that found no room is logged next time
+			class = previous // logged next time if the limit was reached
 		}
 		classes[speed.Instance] = class
 	}
@@ -136,21 +138,22 @@
 	v.metrics.setSpeeds(speeds)
 }
 
-func (v *speedReview) logChange(known backend.SpeedOf, before, class speedClass) {
+func (v *speedReview) logChange(speed backend.SpeedOf, previous, class speedClass) {
 	v.metrics.speedChanges.Inc()
-	believed := known.Believed
-	v.log.Info().Str("event", "instance_speed_changed").Str("instance", known.Instance).Str("service", known.Service).
-		Int("class", int(class)).Int("class_before", int(before)).Float64("factor", believed.Factor()).
+	believed := speed.Believed
+	v.log.Info().Str("event", "instance_speed_changed").Str("instance", speed.Instance).Str("service", speed.Service).
+		Int("class", int(class)).Int("class_before", int(previous)).Float64("factor", believed.Factor()).
 		Float64("stable", believed.Stable).Float64("momentary", believed.Momentary).Float64("failing", believed.Failing).
-		Float64("refusing", believed.Refusing).Float64("observations", believed.Weight).Int("reporters", known.Reporters).Msg("")
+		Float64("refusing", believed.Refusing).Float64("observations", believed.Weight).Int("reporters", speed.Reporters).Msg("")
 }
 
-// maxOverdueMultiple is how many times longer than a sign of life is expected within a request's silence is
-// counted: first when that time is over, then each time that the silence has doubled.
+// maxOverdueMultiple is the multiple of the expected time up to which a silent request is counted
+// against its instance: first when that time has passed, then each time the silence has doubled.
 const maxOverdueMultiple = 4.0
 
-// watchOverdue counts a request against its instance at once while it stays without a sign of life
-// for longer than expected there. The returned function ends that.
+// watchOverdue counts a request against its instance, while it is still running, each time it
+// has sent nothing for longer than expected of that instance. The returned function stops the
+// watch.
 func (s *Server) watchOverdue(ctx context.Context, r *request, choice backend.Choice) (stop func()) {
 	sign := s.directory.ExpectSign(time.Now(), choice, r.route.Kind == route.Streaming)
 	if sign.Within == 0 {
@@ -161,7 +164,7 @@
 	return stop
 }
 
-// overdue counts a silence that is so many times as long as a sign of life is expected within.
+// overdue counts a silence of multiple times the expected time, and schedules the next check.
 func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.Sign, multiple float64) {
 	if ctx.Err() != nil {
 		return
@@ -173,7 +176,7 @@
 	}
 }
 
-// registerSpeeds registers the metrics of instances' speeds.
+// registerSpeeds registers the metrics of instance speeds.
 func (m *Metrics) registerSpeeds(labels prometheus.Labels) {
 	m.speeds = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "swiftbank_instance_slowness", Help: "How many times as long as usual requests take at a service's instances, by rank.", ConstLabels: labels,
@@ -187,7 +190,8 @@
 	m.Registry.MustRegister(m.speeds, m.speedChanges, m.overdue)
 }
 
-// setSpeeds shows the fastest, the median and the slowest instance of each service.
+// setSpeeds sets the metrics of the fastest, the median and the slowest instance of each service.
+// The speeds must be sorted by service, then from fast to slow.
 func (m *Metrics) setSpeeds(speeds []backend.SpeedOf) {
 	for len(speeds) > 0 {
 		service, count := speeds[0].Service, 0
--- a/internal/gateway/instancespeed_test.go
+++ b/internal/gateway/instancespeed_test.go
@@ -11,7 +11,7 @@
 	"swiftbank.dev/swiftbank/internal/tally"
 )
 
-func TestSpeedsCountOnlyWhereLoadControlIsOn(t *testing.T) {
+func TestPlacesByExpectedEndOnlyUnderLoadControl(t *testing.T) {
 	engines, calls := route.Service{Name: "engines", Generates: true}, route.Service{Name: "calls"}
 	request := func(service route.Service, attempts int) *request {
 		streams := &route.Route{Kind: route.Streaming, Attempts: attempts, Targets: []route.Target{{Service: engines.Name, Weight: 1}}}
@@ -20,23 +20,23 @@
 	for _, service := range []route.Service{engines, calls} {
 		on := &Server{options: Options{InstanceSpeeds: true}}
 		require.True(t, on.placesByExpectedEnd(request(service, 2)), "streams may run twice")
-		require.False(t, on.placesByExpectedEnd(request(service, 1)), "nothing asks for load control")
+		require.False(t, on.placesByExpectedEnd(request(service, 1)), "load control does not apply")
 		asked := &Server{options: Options{InstanceSpeeds: true, LoadControl: true}}
-		require.True(t, asked.placesByExpectedEnd(request(service, 1)), "the operator asks for it")
+		require.True(t, asked.placesByExpectedEnd(request(service, 1)), "the operator enables it")
 		off := &Server{options: Options{LoadControl: true}}
-		require.False(t, off.placesByExpectedEnd(request(service, 2)), "it is switched off")
+		require.False(t, off.placesByExpectedEnd(request(service, 2)), "speeds are disabled")
 	}
 }
 
-func TestABelievedSpeedKeepsItsClassNearTheBound(t *testing.T) {
+func TestClassifyAppliesHysteresis(t *testing.T) {
 	slow := classify(0.5, 0)
 	require.NotZero(t, slow)
 	require.Equal(t, slow, classify(0.2, slow))
 	require.Zero(t, classify(0.05, slow))
 }
 
-// The bytes of the section must not grow with the number of gateways that send as often.
-func TestSpeedsAreToldTheLessOftenTheMoreGatewaysThereAre(t *testing.T) {
+// The traffic of the section must not grow with the number of gateways that report speeds.
+func TestSpeedReportIntervalGrowsWithGateways(t *testing.T) {
 	now := time.Unix(1000, 0)
 	directory := backend.NewDirectory("z")
 	directory.Change(now, backend.Changes{All: true, Listed: []backend.Instance{{ID: "e", Service: "s", Zone: "z", Slots: 6}}}, false)
@@ -47,12 +47,12 @@
 	for number := range gateways {
 		directory.TakeSpeeds(now, tally.Source{Gateway: string(rune('A' + number))}, tally.Version{Number: 1}, nil)
 	}
-	told := 0
+	reports := 0
 	for range int(time.Second / gossipInterval) {
 		now = now.Add(gossipInterval)
 		if section.ownFigures(now) != nil {
-			told++
+			reports++
 		}
 	}
-	require.InDelta(t, time.Second/(gateways*speedReportSpacing), told, 1)
+	require.InDelta(t, time.Second/(gateways*speedReportSpacing), reports, 1)
 }
--- a/internal/gateway/learnedcache.go
+++ b/internal/gateway/learnedcache.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// restoreInterval is the pause between two questions for what was learned before this gateway
-	// started; recallLimit is for how long it asks.
+	// restoreInterval is the pause between two requests for the state learned before this gateway
+	// started; restoreTimeout is how long it keeps asking.
 	restoreInterval = 100 * time.Millisecond
-	restoreTimeout    = 3 * time.Second
-	// cacheInterval is how often a gateway that speaks for its zone tells a replica what the zone's
-	// gateways learned.
+	restoreTimeout  = 3 * time.Second
+	// cacheInterval is how often a gateway that reports for its zone sends a replica what the
+	// zone's gateways learned.
 	cacheInterval = 2 * time.Second
 )
 
-// persistentSection is a section whose figures gateways go on with after a start.
+// persistentSection is a section whose figures survive a restart of all gateways.
 type persistentSection interface {
 	reportSection
-	// snapshot returns what the own zone's gateways learned, encoded, nil if that is nothing.
+	// snapshot returns what the own zone's gateways learned, encoded, or nil if that is nothing.
 	snapshot(now time.Time) []byte
-	// restore takes what lasting returned at some gateway so long ago.
+	// restore applies a snapshot of the given age, taken by any gateway of the zone.
 	restore(now time.Time, age time.Duration, figures []byte)
 }
 
-// learnedCaches are the replicas that keep what gateways learned for those that start later.
+// learnedCaches are the replicas that store what gateways learned for those that start later.
 type learnedCaches struct {
 	log *log.Logger
 
 	mu        sync.Mutex
 	addresses rotation
-	// firstReplicaAt is when the first replica was known.
+	// firstReplicaAt is when the first replica became known.
 	firstReplicaAt time.Time
-	// restoring is set until an answer came, or was waited for in vain.
+	// restoring is set until an answer was received or restoreTimeout has passed.
 	restoring bool
 }
 
-// EnableLearnedCache makes replicas keep what gateways learn. It must be called before Run.
+// EnableLearnedCache makes replicas store what gateways learn. It must be called before Run.
 func (g *Gossip) EnableLearnedCache(log *log.Logger) {
 	g.caches = &learnedCaches{log: log, restoring: true}
 }
 
-// SetReplicas tells which replicas there are. The nearest ones keep what is learned here.
+// SetReplicas replaces the known replicas. The nearest ones store what is learned here.
 func (g *Gossip) SetReplicas(nodes map[string]replicaset.Node) {
 	if g.caches == nil {
 		return
@@ -72,12 +72,12 @@
 	}
 }
 
-// runCaches asks what was learned before, then tells what is learned, until the context ends.
+// runCaches requests what was learned before, then sends what is learned, until the context ends.
 func (g *Gossip) runCaches(ctx context.Context, socket net.PacketConn) {
 	for wait.For(ctx, g.caches.interval()) {
 		now := time.Now()
 		switch {
-		case !g.caches.hasReplicas(now): // and nobody is asked or told
+		case !g.caches.hasReplicas(now): // wait for a replica
 		case g.caches.shouldRestore(now):
 			g.sendLearned(socket, learned.Message{Zone: g.zone})
 		case g.isZoneReporter():
@@ -88,6 +88,7 @@
 	}
 }
 
+// interval returns the pause before the next message.
 func (c *learnedCaches) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,7 +98,7 @@
 	return cacheInterval
 }
 
-// hasReplicas reports whether there are replicas.
+// hasReplicas reports whether any replicas are known.
 func (c *learnedCaches) hasReplicas(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,8 @@
 	return true
 }
 
-// shouldRestore reports whether to ask what was learned before.
+// shouldRestore reports whether to request what was learned before. It gives up, and logs that,
+// once restoreTimeout has passed.
 func (c *learnedCaches) shouldRestore(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,13 +123,14 @@
 	return c.restoring
 }
 
-// isZoneReporter reports whether this gateway tells replicas what its zone learned.
+// isZoneReporter reports whether this gateway sends replicas what its zone learned.
 func (g *Gossip) isZoneReporter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.reportsZone
 }
 
+// snapshotSections returns the snapshots of the persistent sections by name.
 func (g *Gossip) snapshotSections(now time.Time) map[string][]byte {
 	snapshots := map[string][]byte{}
 	for _, section := range g.sections {
@@ -158,7 +161,7 @@
 	}
 }
 
-// restoreLearned hands what a cache answered to the sections, once.
+// restoreLearned applies the first answer of a cache to the sections; later ones are ignored.
 func (g *Gossip) restoreLearned(now time.Time, message learned.Message) {
 	if g.caches == nil || message.Zone != g.zone || len(message.Sections) == 0 {
 		return
--- a/internal/gateway/learnedcache_test.go
+++ b/internal/gateway/learnedcache_test.go
@@ -23,24 +23,24 @@
 	return socket.LocalAddr().String()
 }
 
-// keptSection has figures that outlive a start.
-type keptSection struct {
+// fakePersistentSection is a section whose figures survive a restart.
+type fakePersistentSection struct {
 	figures  []byte
 	recalled chan string
 }
 
-func (s *keptSection) name() string                                        { return "kept" }
-func (s *keptSection) ownFigures(time.Time) []byte                                { return nil }
-func (s *keptSection) zoneFigures(time.Time) []byte                               { return nil }
-func (s *keptSection) apply(time.Time, tally.Source, tally.Version, []byte) {}
-func (s *keptSection) lasting(time.Time) []byte                            { return s.figures }
-func (s *keptSection) recall(_ time.Time, _ time.Duration, figures []byte) {
+func (s *fakePersistentSection) name() string                                         { return "kept" }
+func (s *fakePersistentSection) ownFigures(time.Time) []byte                          { return nil }
+func (s *fakePersistentSection) zoneFigures(time.Time) []byte                         { return nil }
+func (s *fakePersistentSection) apply(time.Time, tally.Source, tally.Version, []byte) {}
+func (s *fakePersistentSection) snapshot(time.Time) []byte                            { return s.figures }
+func (s *fakePersistentSection) restore(_ time.Time, _ time.Duration, figures []byte) {
 	s.recalled <- string(figures)
 }
 
 // startGossip runs a gateway's gossip with one section until the returned function is called.
 func startGossip(t *testing.T, section reportSection, replicas map[string]replicaset.Node) (stop func()) {
-	gossip := gossipOf("a1", "a")
+	gossip := newTestGossip("a1", "a")
 	gossip.AddSection(section)
 	gossip.EnableLearnedCache(&log.Logger{Level: log.PanicLevel})
 	gossip.SetGateways(nil)
@@ -54,23 +54,23 @@
 	}
 }
 
-// isKept reports whether a replica at the address answers a question for what zone a learned.
-func isKept(t *testing.T, address string) bool {
+// cacheHasSnapshot reports whether a replica at the address returns a snapshot of zone a.
+func cacheHasSnapshot(t *testing.T, address string) bool {
 	connection, err := net.Dial("udp", address)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, connection.Close()) }()
 	question, err := learned.Encode(learned.Message{Zone: "a"})
 	require.NoError(t, err)
 	if _, err := connection.Write(question); err != nil {
-		return false // nobody listens there yet
+		return false // no server listens there yet
 	}
 	require.NoError(t, connection.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 	size, err := connection.Read(make([]byte, 1))
 	return err == nil && size > 0
 }
 
-// After a start of all gateways nobody else knows what they had learned.
-func TestAGatewayGoesOnWithWhatWasLearnedBeforeAllWereStartedAnew(t *testing.T) {
+// After a restart of all gateways, only the replicas' caches still have the learned state.
+func TestGatewayRestoresLearnedStateAfterFullRestart(t *testing.T) {
 	address := freeUDPAddress(t)
 	go func() {
 		_ = learned.NewCache().Serve(t.Context(), address, &log.Logger{Level: log.PanicLevel}, nil)
@@ -78,34 +78,34 @@
 	replicas := map[string]replicaset.Node{
 		"r1": {Name: "r1", Zone: "a", Address: address}, "r2": {Name: "r2", Zone: "b", Address: freeUDPAddress(t)},
 	}
-	before := &keptSection{figures: []byte("learned"), recalled: make(chan string, 1)}
+	before := &fakePersistentSection{figures: []byte("learned"), recalled: make(chan string, 1)}
 	stop := startGossip(t, before, replicas)
-	require.Eventually(t, func() bool { return isKept(t, address) }, 20*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return cacheHasSnapshot(t, address) }, 20*time.Second, 50*time.Millisecond)
 	stop()
-	after := &keptSection{recalled: make(chan string, 1)}
+	after := &fakePersistentSection{recalled: make(chan string, 1)}
 	defer startGossip(t, after, replicas)()
 	select {
 	case figures := <-after.recalled:
 		require.Equal(t, "learned", figures)
 	case <-time.After(restoreTimeout):
-		t.Fatal("nothing was recalled")
+		t.Fatal("no snapshot was restored")
 	}
 }
 
-func TestTheProgramSectionOutlivesAStart(t *testing.T) {
+func TestProgramSectionRestoresSnapshot(t *testing.T) {
 	kind := admission.Kind{Service: "s", Route: "r"}
 	section := func() *programSection {
 		return &programSection{programs: &programs{log: &log.Logger{Level: log.PanicLevel}, controller: admission.NewController()}}
 	}
 	before, after := section(), section()
 	now := time.Unix(1000, 0)
-	require.Nil(t, before.lasting(now))
+	require.Nil(t, before.snapshot(now))
 	for range 100 {
 		before.programs.controller.Began(now, admission.Beginning{Kind: kind})
 		before.programs.controller.TurnEnded(now, admission.Turn{Kind: kind, First: true, Took: time.Second})
 		now = now.Add(time.Second)
 	}
-	after.recall(now, time.Second, before.lasting(now))
+	after.restore(now, time.Second, before.snapshot(now))
 	decide := func(s *programSection) admission.Decision {
 		return s.programs.controller.Decide(now, admission.Request{Kind: kind, Deadline: now}, admission.Load{Slots: 100})
 	}
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -14,19 +14,19 @@
 
 const (
 	// lenderTimeout is how long one lender's answer is awaited before the next one is asked:
-	// several times a round trip between zones (3 ms), and time for one relay by another
+	// several round trips between zones (3 ms each), and time for one relay through another
 	// gateway.
 	lenderTimeout = 120 * time.Millisecond
-	// limitTimeout is how long a request waits for an allowance at most.
+	// limitTimeout is the longest that a request waits for an allowance.
 	limitTimeout = 900 * time.Millisecond
-	// limitDivisor bounds the wait for an allowance to half of the request's time; the rest is
-	// left for its run or for a new attempt.
-	limitDivisor = 2
-	// leastLimitRetry is the least pause that a caller beyond its limit is asked for.
-	leastLimitRetry = 20 * time.Millisecond
+	// allowanceWaitDivisor bounds the wait for an allowance to half of the request's time; the rest
+	// is left for its run or for another attempt.
+	allowanceWaitDivisor = 2
+	// minLimitRetry is the minimum Retry-After of a caller beyond its limit.
+	minLimitRetry = 20 * time.Millisecond
 )
 
-// allowances are the gateway's allowances of all tenants.
+// allowances holds the gateway's allowances of all tenants. It is safe for concurrent use.
 type allowances struct {
 	mu       sync.Mutex
 	borrower *quota.Borrower
@@ -34,10 +34,10 @@
 
 func newAllowances() *allowances { return &allowances{borrower: quota.NewBorrower()} }
 
-// arrive counts a request, and uses an allowance for it if there is one. The first request of
-// a program uses none before its tenant's home lender was asked: what is here serves begun
-// programs first.
-func (a *allowances) arrive(tenant string, part quota.Part) bool {
+// useAllowance counts a request and consumes an allowance for it, if there is one. The first
+// request of a program consumes none before its tenant's home lender was asked: the allowances
+// held here are for begun programs first.
+func (a *allowances) useAllowance(tenant string, part quota.Part) bool {
 	if part == quota.PartFirst {
 		return false
 	}
@@ -45,50 +45,52 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.borrower.Arrived(now, tenant)
-	return a.take(now, tenant, part)
+	return a.consume(now, tenant, part)
 }
 
-// take uses an allowance. The caller holds the lock.
-func (a *allowances) take(now time.Time, tenant string, part quota.Part) bool {
-	taken := a.borrower.Take(now, tenant)
-	if taken && part != quota.PartUntold {
+// consume consumes an allowance. The caller must hold the lock.
+func (a *allowances) consume(now time.Time, tenant string, part quota.Part) bool {
+	consumed := a.borrower.Take(now, tenant)
+	if consumed && part != quota.PartUntold {
 		a.borrower.Served(now, tenant, part)
 	}
-	return taken
+	return consumed
 }
 
-// short notes that a later request of a program was refused.
-func (a *allowances) short(tenant string) {
+// recordShortage records that a later request of a program was refused.
+func (a *allowances) recordShortage(tenant string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.borrower.Short(time.Now(), tenant)
 }
 
-// unanswered notes that a lender did not answer.
-func (a *allowances) unanswered(lender string) {
+// recordUnanswered records that a lender did not answer.
+func (a *allowances) recordUnanswered(lender string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.borrower.Unanswered(time.Now(), lender)
 }
 
-// next returns the lender to ask. admitted says that the tenant's home lender has answered.
-func (a *allowances) next(tenant string, lenders []string, part quota.Part, admitted bool) quota.NextStep {
+// nextStep returns the lender to ask next; homeAnswered reports whether the tenant's home lender
+// has answered.
+func (a *allowances) nextStep(tenant string, lenders []string, part quota.Part, homeAnswered bool) quota.NextStep {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.borrower.NextOf(time.Now(), tenant, lenders, part, admitted)
+	return a.borrower.NextOf(time.Now(), tenant, lenders, part, homeAnswered)
 }
 
-// lent adds a loan and uses an allowance of it for the request that asked.
-func (a *allowances) lent(sentAt time.Time, lender string, asked quota.Borrow, part quota.Part, lent quota.Loan) bool {
+// addLoan adds a loan and consumes an allowance of it for the request that asked.
+func (a *allowances) addLoan(sentAt time.Time, lender string, loanRequest quota.Borrow, part quota.Part, loan quota.Loan) bool {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.borrower.Lent(now, sentAt, lender, asked, lent)
-	return a.take(now, asked.Tenant, part)
+	a.borrower.Lent(now, sentAt, lender, loanRequest, loan)
+	return a.consume(now, loanRequest.Tenant, part)
 }
 
-// withinLimit lets the request go on if its tenant's limit allows that.
-func (s *Server) withinLimit(ctx context.Context, r *request) *refusal {
+// checkTenantLimit consumes an allowance of the request's tenant, borrowing one if necessary. It
+// returns nil if the request may proceed.
+func (s *Server) checkTenantLimit(ctx context.Context, r *request) *refusal {
 	if r.tenant == nil || !r.tenant.Limit.Limited() {
 		return nil
 	}
@@ -98,12 +100,12 @@
 			return failure
 		}
 	}
-	if s.allowances.arrive(r.tenant.Name, part) {
+	if s.allowances.useAllowance(r.tenant.Name, part) {
 		return nil
 	}
 	began := time.Now()
 	defer func() { r.outcome.limitMS = millisecondsSince(began) }()
-	ctx, cancel := context.WithTimeout(ctx, min(limitTimeout, time.Until(r.deadline)/limitDivisor))
+	ctx, cancel := context.WithTimeout(ctx, min(limitTimeout, time.Until(r.deadline)/allowanceWaitDivisor))
 	defer cancel()
 	failure := s.borrow(ctx, r, part)
 	if failure != nil {
@@ -113,8 +115,8 @@
 }
 
 // borrow asks the lenders of the tenant's cell one after another for an allowance. A request is
-// beyond its tenant's limit once most of them say that they have none left: one voter that is
-// down must neither make each such request wait for it nor hide when there is credit again.
+// beyond its tenant's limit once most of them report that they have none left: a voter that is
+// down must neither delay each such request nor hide that credit is available again.
 func (s *Server) borrow(ctx context.Context, r *request, part quota.Part) *refusal {
 	name := r.tenant.Name
 	cell := s.replicas.OfTenant(name)
@@ -122,58 +124,59 @@
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known yet")
 	}
 	lenders := cell.Lenders(name)
-	for admitted := false; ; {
-		step := s.allowances.next(name, lenders, part, admitted)
+	for homeAnswered := false; ; {
+		step := s.allowances.nextStep(name, lenders, part, homeAnswered)
 		switch {
 		case step.Lender != "":
 		case step.Told > 0:
-			s.noteBeyondLimit(r, part, quota.Loan{Wait: step.Wait})
-			return beyondLimit(max(step.Wait, leastLimitRetry))
+			s.recordLimitRefusal(r, part, quota.Loan{Wait: step.Wait})
+			return refuseOverLimit(max(step.Wait, minLimitRetry))
 		default:
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered on the tenant's limit")
 		}
 		r.outcome.lender = step.Lender
 		sentAt := time.Now()
-		lent, err := s.askLender(ctx, cell, step.Lender, step.Asked)
-		admitted = admitted || err == nil && step.Asked.Part == quota.PartFirst
+		loan, err := s.askLender(ctx, cell, step.Lender, step.Asked)
+		homeAnswered = homeAnswered || err == nil && step.Asked.Part == quota.PartFirst
 		switch {
 		case ctx.Err() != nil:
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered on the tenant's limit")
 		case err != nil:
-			s.allowances.unanswered(step.Lender)
+			s.allowances.recordUnanswered(step.Lender)
 			s.log.Warn().Str("event", "lender_unanswered").Str("id", r.id).Str("tenant", name).Str("lender", step.Lender).Msg("")
-		case lent.Unable:
+		case loan.Unable:
 			lenders = slices.DeleteFunc(lenders, func(other string) bool { return other == step.Lender })
-		case lent.Held:
-			s.noteBeyondLimit(r, part, lent)
-			return beyondLimit(max(lent.Wait, leastLimitRetry))
-		case lent.Unlimited || s.allowances.lent(sentAt, step.Lender, step.Asked, part, lent):
+		case loan.Held:
+			s.recordLimitRefusal(r, part, loan)
+			return refuseOverLimit(max(loan.Wait, minLimitRetry))
+		case loan.Unlimited || s.allowances.addLoan(sentAt, step.Lender, step.Asked, part, loan):
 			return nil
 		}
 	}
 }
 
-func (s *Server) askLender(ctx context.Context, cell *quorum.Client, name string, asked quota.Borrow) (quota.Loan, error) {
+// askLender requests a loan from the lender with the given name, within lenderTimeout.
+func (s *Server) askLender(ctx context.Context, cell *quorum.Client, name string, loanRequest quota.Borrow) (quota.Loan, error) {
 	ctx, cancel := context.WithTimeout(ctx, lenderTimeout+cell.ConnectAllowance(name))
 	defer cancel()
-	return cell.Borrow(ctx, name, asked)
+	return cell.Borrow(ctx, name, loanRequest)
 }
 
-// noteBeyondLimit counts and logs which limit a request is beyond, and when there is credit
-// again: for a whole program where the home lender held a new one back.
-func (s *Server) noteBeyondLimit(r *request, part quota.Part, lent quota.Loan) {
+// recordLimitRefusal counts and logs the limit that a request exceeds, and when credit is
+// available again: for a whole program where the home lender held a new one back.
+func (s *Server) recordLimitRefusal(r *request, part quota.Part, loan quota.Loan) {
 	limit := r.tenant.Limit
 	if part == quota.PartLater {
-		s.allowances.short(r.tenant.Name)
+		s.allowances.recordShortage(r.tenant.Name)
 	}
-	s.metrics.countLimitRefusal(part, lent.Held)
+	s.metrics.countLimitRefusal(part, loan.Held)
 	s.log.Info().Str("event", "limit_reached").Str("id", r.id).Str("tenant", r.tenant.Name).Str("lender", r.outcome.lender).
-		Float64("limit_per_s", limit.PerSecond).Float64("limit_burst", limit.Burst).Dur("wait", lent.Wait).
-		Str("part", part.String()).Bool("held", lent.Held).Int("credit", lent.Forecast.Credit).Int("begun", lent.Forecast.Begun).Int("unused", lent.Forecast.Unused).
-		Float64("per_program", lent.Forecast.PerProgram).Uint64("config", r.table.Version).Msg("")
+		Float64("limit_per_s", limit.PerSecond).Float64("limit_burst", limit.Burst).Dur("wait", loan.Wait).
+		Str("part", part.String()).Bool("held", loan.Held).Int("credit", loan.Forecast.Credit).Int("begun", loan.Forecast.Begun).Int("unused", loan.Forecast.Unused).
+		Float64("per_program", loan.Forecast.PerProgram).Uint64("config", r.table.Version).Msg("")
 }
 
-// beyondLimit refuses a request beyond its tenant's limit until there is credit again.
-func beyondLimit(wait time.Duration) *refusal {
+// refuseOverLimit refuses a request beyond its tenant's limit until credit is available again.
+func refuseOverLimit(wait time.Duration) *refusal {
 	return &refusal{status: http.StatusTooManyRequests, code: verdict.CodeTenantLimit, retryAfter: wait, reason: "the tenant's limit is reached"}
 }
--- a/internal/gateway/livenesswatch.go
+++ b/internal/gateway/livenesswatch.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// idleTimeoutLeast and idleTimeoutMost bound how long a stream waits for its
-	// instance's next bytes before it probes the instance's machine: idleTimeoutFactor
-	// times what streams of the service usually wait for their first event. A probe takes
-	// a connection, and engines under load send nothing for longer.
-	idleTimeoutLeast  = 150 * time.Millisecond
-	idleTimeoutMost   = time.Second
+	// minIdleTimeout and maxIdleTimeout bound how long a stream waits for its instance's next
+	// bytes before it probes the instance's machine: idleTimeoutFactor times the typical time to
+	// the first event of the service's streams. A probe takes a connection, and engines under
+	// load may send nothing for longer.
+	minIdleTimeout    = 150 * time.Millisecond
+	maxIdleTimeout    = time.Second
 	idleTimeoutFactor = 4
-	// streamIdleLeast and streamIdleFactor, times what streams of the service usually wait for
-	// their first event, give the idle timeout after which a resumable stream goes on over a new
-	// connection: one may fall silent for good though the machine accepts others. Callers give a
-	// stream up after such a gap.
-	streamIdleLeast  = 2 * time.Second
-	streamIdleFactor = 8
+	// minResumeTimeout and resumeTimeoutFactor, times the typical time to the first event of the
+	// service's streams, give the idle timeout after which a resumable stream continues over a new
+	// connection: a connection may stall permanently though the machine accepts others. Callers
+	// give up a stream after such a gap.
+	minResumeTimeout    = 2 * time.Second
+	resumeTimeoutFactor = 8
 )
 
-// livenessWatch ends a send whose instance sends nothing because its machine is gone. An
-// instance that is there may send nothing for as long as it likes.
+// livenessWatch cancels a send whose instance is silent because its machine is gone. A reachable
+// instance may stay silent for any length of time, unless the stream can be resumed.
 type livenessWatch struct {
 	pool        *backend.Pool
 	instance    backend.Instance
 	idleTimeout time.Duration
 	timer       *time.Timer
-	// renewAfter is the idle timeout of the connection; 0 where the stream cannot be resumed.
-	renewAfter time.Duration
-	// heardAt is when the instance last sent something, in nanoseconds since began.
-	heardAt atomic.Int64
-	began   time.Time
-	// end ends the send.
-	end          context.CancelFunc
+	// resumeAfter is the idle timeout of the connection; 0 where the stream cannot be resumed.
+	resumeAfter time.Duration
+	// receivedAt is when the instance last sent something, in nanoseconds since began.
+	receivedAt atomic.Int64
+	began      time.Time
+	// cancel cancels the send.
+	cancel       context.CancelFunc
 	gone, silent atomic.Bool
 }
 
-// watchLiveness watches a stream's send until stop.
-func (s *Server) watchLiveness(ctx context.Context, r *request, instance backend.Instance, end context.CancelFunc) *livenessWatch {
-	usual := s.directory.UsualFirst(instance.Service)
+// watchLiveness starts a watch of a stream's send. The caller must stop it.
+func (s *Server) watchLiveness(ctx context.Context, r *request, instance backend.Instance, cancel context.CancelFunc) *livenessWatch {
+	typicalFirst := s.directory.UsualFirst(instance.Service)
 	watch := &livenessWatch{
-		pool: s.pool, instance: instance, end: end, began: time.Now(),
-		idleTimeout: min(idleTimeoutMost, max(idleTimeoutLeast, idleTimeoutFactor*usual)),
+		pool: s.pool, instance: instance, cancel: cancel, began: time.Now(),
+		idleTimeout: min(maxIdleTimeout, max(minIdleTimeout, idleTimeoutFactor*typicalFirst)),
 	}
 	if r.route.Resumable {
-		watch.renewAfter = max(streamIdleLeast, streamIdleFactor*usual)
+		watch.resumeAfter = max(minResumeTimeout, resumeTimeoutFactor*typicalFirst)
 	}
 	watch.timer = time.AfterFunc(time.Hour, func() { watch.probe(ctx) })
 	watch.timer.Reset(watch.idleTimeout) // the timer is known to its function before it fires
 	return watch
 }
 
-// probe finds out whether the instance's machine is gone.
+// probe checks whether the instance's machine is gone, and cancels the send or schedules the next
+// probe.
 func (w *livenessWatch) probe(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
@@ -64,26 +65,26 @@
 	switch {
 	case w.pool.Gone(ctx, w.instance, w.idleTimeout):
 		w.gone.Store(true)
-		w.end()
+		w.cancel()
 	case ctx.Err() != nil:
-	case w.renewAfter > 0 && time.Since(w.began)-time.Duration(w.heardAt.Load()) >= w.renewAfter:
+	case w.resumeAfter > 0 && time.Since(w.began)-time.Duration(w.receivedAt.Load()) >= w.resumeAfter:
 		w.silent.Store(true)
-		w.end()
+		w.cancel()
 	default:
 		w.timer.Reset(w.idleTimeout)
 	}
 }
 
-// heard notes that the instance sent something.
-func (w *livenessWatch) heard(now time.Time) {
+// recordActivity records that the instance sent something.
+func (w *livenessWatch) recordActivity(now time.Time) {
 	w.pool.Heard(now, w.instance.ID)
-	w.heardAt.Store(int64(now.Sub(w.began)))
+	w.receivedAt.Store(int64(now.Sub(w.began)))
 	w.timer.Reset(w.idleTimeout)
 }
 
 func (w *livenessWatch) stop() { w.timer.Stop() }
 
-// explain gives the failure of a send that the watch ended its true reason.
+// explain sets the reason of a failure that the watch itself caused by cancelling the send.
 func (w *livenessWatch) explain(failure *backend.Failure) {
 	switch {
 	case w == nil || failure == nil:
@@ -91,13 +92,13 @@
 		failure.Reason = "the instance's machine does not answer"
 		failure.Gone = true
 	case w.silent.Load():
-		failure.Reason = "the connection to the instance fell silent"
+		failure.Reason = "the connection to the instance stalled"
 	}
 }
 
-// isGone reports whether an instance that did not take a request is known to be gone: its
-// address refuses connections or is another instance's, or its machine does not answer. One
-// lost opening packet does not say so.
+// isGone reports whether an instance that did not accept a request is known to be gone: its
+// address refuses connections or belongs to another instance, or its machine does not answer.
+// The loss of one connection attempt is not sufficient.
 func (s *Server) isGone(ctx context.Context, instance backend.Instance, failure *backend.Failure) bool {
 	return failure.Gone || failure.Unreachable && s.pool.Gone(ctx, instance, 0)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,7 +9,7 @@
 	"swiftbank.dev/swiftbank/internal/quorum"
 )
 
-// Metrics are a gateway's counters in the Prometheus format.
+// Metrics are a gateway's metrics in the Prometheus format.
 type Metrics struct {
 	Registry    *prometheus.Registry
 	labels      prometheus.Labels
@@ -23,22 +23,22 @@
 	relayed     prometheus.Counter
 	store       *prometheus.CounterVec
 	feedAge     prometheus.Gauge
-	// cold is how many instances are cold; coldSends counts requests to them, coldWithheld
-	// placements that found no other instance and no place at a cold one.
+	// cold is the number of cold instances; coldSends counts requests to them, coldWithheld
+	// placements that found no other instance and no slot at a cold one.
 	cold         prometheus.Gauge
 	coldSends    prometheus.Counter
 	coldWithheld prometheus.Counter
 	feedReading  prometheus.Gauge
 	budgets      *prometheus.CounterVec
-	// speeds shows the spread of instances' believed speeds by service, speedChanges counts their
-	// changes, overdue the requests that were without a sign of life for too long.
+	// speeds is the range of instances' estimated speeds by service; speedChanges counts changes of
+	// their class, overdue the requests that sent nothing for longer than expected.
 	speeds       *prometheus.GaugeVec
 	speedChanges prometheus.Counter
 	overdue      prometheus.Counter
-	// memoryBound counts requests that a bound of the memory for callers refused or ended.
+	// memoryBound counts requests that a bound on the memory for callers refused or ended.
 	memoryBound *prometheus.CounterVec
-	// missing counts the prompt tokens that instances were believed to have to read.
-	missing prometheus.Counter
+	// missingTokens counts the prompt tokens that instances were estimated not to have cached.
+	missingTokens prometheus.Counter
 	// limitRefusals counts requests refused by their tenant's limit.
 	limitRefusals *prometheus.CounterVec
 }
@@ -80,11 +80,11 @@
 	m.memoryBound = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "swiftbank_memory_bound_total", Help: "Requests refused or ended for lack of memory for callers, by the bound.", ConstLabels: labels,
 	}, []string{"bound"})
-	m.missing = prometheus.NewCounter(prometheus.CounterOpts{
+	m.missingTokens = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "swiftbank_missing_prompt_tokens_total", Help: "Prompt tokens that instances were believed to have to read.", ConstLabels: labels,
 	})
-	m.Registry.MustRegister(m.budgets, m.memoryBound, m.missing)
-	// A rate needs both from the start.
+	m.Registry.MustRegister(m.budgets, m.memoryBound, m.missingTokens)
+	// Both series must exist from the start for a rate to be computed.
 	m.budgets.WithLabelValues(askedOwnRegion, quorum.Granted.String())
 	m.budgets.WithLabelValues(askedEveryRegion, quorum.Granted.String())
 	m.evacuated = prometheus.NewGauge(prometheus.GaugeOpts{Name: "swiftbank_evacuated_zones", Help: "Zones whose instances get nothing further.", ConstLabels: labels})
@@ -95,24 +95,24 @@
 	return m
 }
 
-// sent counts a request that goes to an instance of a zone.
-func (m *Metrics) sent(zone string) { m.sends.WithLabelValues(zone).Inc() }
+// countSend counts a request sent to an instance of the zone.
+func (m *Metrics) countSend(zone string) { m.sends.WithLabelValues(zone).Inc() }
 
-// countEvacuated shows how many requests still run in evacuated zones.
-func (m *Metrics) countEvacuated(running func() int) {
+// registerEvacuated registers the gauge of requests still running in evacuated zones.
+func (m *Metrics) registerEvacuated(running func() int) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "swiftbank_evacuated_requests", Help: "Requests of this gateway that still run in evacuated zones.", ConstLabels: m.labels,
 	}, func() float64 { return float64(running()) }))
 }
 
-// countHeld shows how many bytes are held for callers.
-func (m *Metrics) countHeld(held func() float64) {
+// registerHeld registers the gauge of bytes held for callers.
+func (m *Metrics) registerHeld(held func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "swiftbank_held_bytes", Help: "Bytes held for callers, where they are bounded.", ConstLabels: m.labels,
 	}, held))
 }
 
-// FeedAge notes how old the knowledge of the shared store is, and whether this process
+// FeedAge records the age of the known state of the shared store, and whether this process
 // reads the store itself.
 func (m *Metrics) FeedAge(seconds float64, reading bool) {
 	m.feedAge.Set(seconds)
@@ -127,25 +127,26 @@
 	m.store.WithLabelValues(method, strconv.Itoa(status)).Inc()
 }
 
-// Relayed counts a request to a replica that was sent by another gateway.
+// Relayed counts a request to a replica that another gateway sent.
 func (m *Metrics) Relayed() { m.relayed.Inc() }
 
-// The regions asked for a decision on a turn's budget, as metrics name them.
+// Label values for the regions asked for a decision on a turn's budget.
 const (
 	askedOwnRegion   = "own_region"
 	askedEveryRegion = "every_region"
 )
 
-// escrow counts a decision on a turn's budget.
-func (m *Metrics) escrow(grant quorum.Grant, everywhere bool) {
-	asked := askedOwnRegion
-	if everywhere {
-		asked = askedEveryRegion
+// countBudgetDecision counts a decision on a turn's budget.
+func (m *Metrics) countBudgetDecision(grant quorum.Grant, allRegions bool) {
+	label := askedOwnRegion
+	if allRegions {
+		label = askedEveryRegion
 	}
-	m.budgets.WithLabelValues(asked, grant.String()).Inc()
+	m.budgets.WithLabelValues(label, grant.String()).Inc()
 }
 
-func (m *Metrics) request(o *outcome, took time.Duration) {
+// observeRequest counts a finished request and its latency.
+func (m *Metrics) observeRequest(o *outcome, took time.Duration) {
 	m.requests.WithLabelValues(strconv.Itoa(o.status), o.result).Inc()
 	m.latency.WithLabelValues(o.result).Observe(took.Seconds())
 }
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -9,7 +9,7 @@
 	"swiftbank.dev/swiftbank/internal/wait"
 )
 
-// queues are the requests that wait for a slot, by service. It is safe for concurrent use.
+// queues holds the requests that wait for a slot, by service. It is safe for concurrent use.
 type queues struct {
 	mu        sync.Mutex
 	byService map[string]*overload.Queue
@@ -17,53 +17,53 @@
 
 func newQueues() *queues { return &queues{byService: map[string]*overload.Queue{}} }
 
-// of returns a service's queue. The caller holds the lock.
-func (q *queues) of(service string) *overload.Queue {
-	known := q.byService[service]
-	if known == nil {
-		known = overload.NewQueue()
-		q.byService[service] = known
+// queue returns a service's queue. The caller must hold the lock.
+func (q *queues) queue(service string) *overload.Queue {
+	queue := q.byService[service]
+	if queue == nil {
+		queue = overload.NewQueue()
+		q.byService[service] = queue
 	}
-	return known
+	return queue
 }
 
 // admits reports whether a request may ask instances now.
 func (q *queues) admits(service string, request overload.Request, capacity overload.Capacity) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.of(service).Admits(request, capacity)
+	return q.queue(service).Admits(request, capacity)
 }
 
-// refused decides about a request that instances did not take.
-func (q *queues) refused(now time.Time, service string, request overload.Request, capacity overload.Capacity) overload.Decision {
+// decide returns whether a request that no instance accepted waits or is rejected.
+func (q *queues) decide(now time.Time, service string, request overload.Request, capacity overload.Capacity) overload.Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.of(service).Refused(now, request, capacity)
+	return q.queue(service).Refused(now, request, capacity)
 }
 
-// taken notes that an instance took the request.
-func (q *queues) taken(r *request) {
+// recordAccepted records that an instance accepted the request.
+func (q *queues) recordAccepted(r *request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.of(r.service.Name).Taken(time.Now(), r.id)
+	q.queue(r.service.Name).Taken(time.Now(), r.id)
 }
 
-// left notes that the request waits no longer, for whatever reason.
-func (q *queues) left(r *request) {
+// remove removes the request from its queue, for whatever reason.
+func (q *queues) remove(r *request) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.of(r.service.Name).Left(r.id)
+	q.queue(r.service.Name).Left(r.id)
 }
 
-// waitForSlot pauses before instances are asked again. It reports false when the request
-// is refused, or its caller is gone.
+// waitForSlot pauses before instances are asked again. It returns false if the request is refused
+// or its caller has disconnected.
 func (s *Server) waitForSlot(ctx context.Context, r *request) bool {
 	if r.isHeld() {
-		return s.holdProgram(ctx, r)
+		return s.awaitNextDecision(ctx, r)
 	}
 	now := time.Now()
 	capacity := s.capacity(now, r)
-	decision := s.overload.refused(now, r.service.Name, s.overloadRequest(r), capacity)
+	decision := s.overload.decide(now, r.service.Name, s.overloadRequest(r), capacity)
 	s.logDecision(now, r, decision, capacity)
 	r.polls++
 	if decision.Verdict == overload.Reject {
@@ -75,15 +75,15 @@
 
 // admits reports whether the request may ask instances now.
 func (s *Server) admits(r *request) bool {
-	return !r.firstOfProgram || s.overload.admits(r.service.Name, s.overloadRequest(r), s.capacity(time.Now(), r)) && s.mayBegin(r)
+	return !r.firstOfProgram || s.overload.admits(r.service.Name, s.overloadRequest(r), s.capacity(time.Now(), r)) && s.admitProgram(r)
 }
 
-// capacity returns what is believed of the request's service.
+// capacity returns the estimated capacity of the request's service.
 func (s *Server) capacity(now time.Time, r *request) overload.Capacity {
 	return overload.Capacity(s.directory.Capacity(now, r.service.Name))
 }
 
-// overloadRequest returns what the decision needs to know of a request.
+// overloadRequest returns the properties of a request that the overload decision needs.
 func (s *Server) overloadRequest(r *request) overload.Request {
 	request := overload.Request{
 		ID:            r.id,
@@ -101,8 +101,8 @@
 	return request
 }
 
-// logDecision writes the first decision about a request and each refusal, with what it rests
-// on; the polls between differ in their time only.
+// logDecision logs the first decision on a request and each refusal, with their inputs; the polls
+// in between differ in their time only.
 func (s *Server) logDecision(now time.Time, r *request, decision overload.Decision, capacity overload.Capacity) {
 	if r.polls > 0 && decision.Verdict == overload.Wait {
 		return
--- a/internal/gateway/overload_test.go
+++ b/internal/gateway/overload_test.go
@@ -15,9 +15,8 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// oneInstance gives the gateway a service with one instance that answers as told, and a safe
-// route to it.
-func oneInstance(t *testing.T, s *Server, answer http.HandlerFunc) {
+// addInstance adds a service with one instance that answers by the handler, and a safe route to it.
+func addInstance(t *testing.T, s *Server, answer http.HandlerFunc) {
 	instance := httptest.NewServer(answer)
 	t.Cleanup(instance.Close)
 	s.dialect.Signature, s.dialect.NotExecuted = "X-Test-Signature", "X-Test-Not-Executed"
@@ -31,8 +30,8 @@
 	}}}, false)
 }
 
-// askFor sends a request with an id.
-func askFor(s *Server, id, deadlineMS, program string) *httptest.ResponseRecorder {
+// sendCallWithID sends a request with an id.
+func sendCallWithID(s *Server, id, deadlineMS, program string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodGet, "http://apps.test/call/1", nil)
 	request.Header.Set(s.dialect.RequestID, id)
 	request.Header.Set(deadlineHeader, deadlineMS)
@@ -44,41 +43,41 @@
 	return recorder
 }
 
-func TestTheOnlyInstanceIsAskedAgainAfterAFailure(t *testing.T) {
-	s := gatewayOf(t)
+func TestRetriesOnTheOnlyInstance(t *testing.T) {
+	s := newTestGateway(t)
 	var asked atomic.Int64
-	oneInstance(t, s, func(w http.ResponseWriter, r *http.Request) {
+	addInstance(t, s, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Test-Id", r.Header.Get("X-Test-Id"))
 		w.Header().Set("X-Test-Signature", "s")
 		if asked.Add(1) == 1 {
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
-	require.Equal(t, http.StatusOK, askFor(s, "a", "2000", "p").Code)
+	require.Equal(t, http.StatusOK, sendCallWithID(s, "a", "2000", "p").Code)
 	require.EqualValues(t, 2, asked.Load())
 }
 
-// The decision spreads the times (TestRefusedCallersAreSpread of the package); each caller is
-// told its own.
-func TestARefusedCallerIsToldTheDecisionsTime(t *testing.T) {
-	s := gatewayOf(t)
+// The overload package spreads the retry times; each caller must get the one that was decided for
+// it.
+func TestRefusalCarriesTheDecisionsRetryAfter(t *testing.T) {
+	s := newTestGateway(t)
 	notRun := &backend.Failure{Verdict: verdict.NotRun}
-	for decided, told := range map[time.Duration]time.Duration{
+	for decided, expected := range map[time.Duration]time.Duration{
 		0: minOverloadRetry, minOverloadRetry + time.Millisecond: minOverloadRetry + time.Millisecond, 777 * time.Millisecond: 777 * time.Millisecond,
 	} {
 		r := &request{retryAfter: decided, deadline: time.Now().Add(time.Hour)}
-		require.Equal(t, told, s.failed(t.Context(), r, notRun, false).retryAfter)
+		require.Equal(t, expected, s.refusalFor(t.Context(), r, notRun, false).retryAfter)
 	}
 	cold := &backend.Failure{Verdict: verdict.NotRun, RetryAfter: time.Second}
-	require.Equal(t, time.Second, s.failed(t.Context(), &request{deadline: time.Now().Add(time.Hour)}, cold, false).retryAfter, "a cold instance says when")
+	require.Equal(t, time.Second, s.refusalFor(t.Context(), &request{deadline: time.Now().Add(time.Hour)}, cold, false).retryAfter, "a cold instance determines the time")
 }
 
-// A send whose deadline passes before the refusal comes is not known not to have run: its caller
-// got a 504 for a request that no instance took.
-func TestARequestIsNotSentAsItsDeadlinePasses(t *testing.T) {
-	s := gatewayOf(t)
+// If the deadline passes before an instance's refusal arrives, the outcome is unknown: a caller
+// got a 504 for a request that no instance accepted.
+func TestRequestIsNotSentCloseToItsDeadline(t *testing.T) {
+	s := newTestGateway(t)
 	var asked atomic.Int64
-	oneInstance(t, s, func(w http.ResponseWriter, r *http.Request) {
+	addInstance(t, s, func(w http.ResponseWriter, r *http.Request) {
 		asked.Add(1)
 		w.Header().Set("X-Test-Id", r.Header.Get("X-Test-Id"))
 		w.Header().Set("X-Test-Not-Executed", "1")
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -16,12 +16,12 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// largestAnswer bounds what is kept of an answer before it is passed on.
-const largestAnswer = 64 << 20
+// maxAnswerBytes is the maximum size of an answer that is buffered before it is forwarded.
+const maxAnswerBytes = 64 << 20
 
-// servePlain serves a request with one answer.
+// servePlain serves a request that is answered as a whole, not by a stream.
 func (s *Server) servePlain(ctx context.Context, w http.ResponseWriter, r *request) {
-	if failure := s.withinLimit(ctx, r); failure != nil {
+	if failure := s.checkTenantLimit(ctx, r); failure != nil {
 		s.refuse(w, r, failure)
 		return
 	}
@@ -29,7 +29,7 @@
 	for runs := 0; ; {
 		sent, failure := s.sendUntilAccepted(ctx, r, demand)
 		if failure == nil {
-			failure = s.passAnswer(w, r, sent)
+			failure = s.relayAnswer(w, r, sent)
 			if failure == nil {
 				return
 			}
@@ -38,22 +38,23 @@
 			runs++
 			r.lostAnswer = true
 		}
-		// A request that ran and whose answer there is no memory for would need as much again.
+		// A request whose answer exceeded the memory bound is not retried: it would need as much again.
 		if r.route.Kind == route.Safe && failure.Verdict == verdict.MayHaveRun && runs < r.route.Attempts && ctx.Err() == nil {
 			demand.Exclude = append(demand.Exclude, r.outcome.instance)
 			continue
 		}
-		s.refuse(w, r, s.failed(ctx, r, failure, runs > 0))
+		s.refuse(w, r, s.refusalFor(ctx, r, failure, runs > 0))
 		return
 	}
 }
 
-// failed returns the truthful answer for a request without one of an instance.
-func (s *Server) failed(ctx context.Context, r *request, failure *backend.Failure, ran bool) *refusal {
+// refusalFor returns the refusal of a failed request; ran reports whether it may have run before.
+// The refusal states that the request has not run only if that is known.
+func (s *Server) refusalFor(ctx context.Context, r *request, failure *backend.Failure, ran bool) *refusal {
 	late := ctx.Err() != nil || !time.Now().Before(r.deadline)
 	switch {
 	case !ran && failure.Bar != backend.NotBarred:
-		return refuseBarred(failure.Bar)
+		return refuseIneligible(failure.Bar)
 	case !ran && failure.Verdict == verdict.NotRun:
 		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, minOverloadRetry)), failure.Reason)
 	case late:
@@ -63,29 +64,29 @@
 	}
 }
 
-// passAnswer reads a whole answer and hands it to the caller. An answer that is
-// not whole, or no answer of an instance, is a failure.
-func (s *Server) passAnswer(w http.ResponseWriter, r *request, sent *attempt) *backend.Failure {
+// relayAnswer reads a complete answer and writes it to the caller. An incomplete answer, or one
+// without an instance's signature, is a failure.
+func (s *Server) relayAnswer(w http.ResponseWriter, r *request, sent *attempt) *backend.Failure {
 	defer sent.release()
 	answer := sent.answer
-	body, err := io.ReadAll(accountingReader{source: io.LimitReader(answer.Body(), largestAnswer), held: r.held, copies: 1})
-	var full *memoryError
-	if errors.As(err, &full) {
+	body, err := io.ReadAll(accountingReader{source: io.LimitReader(answer.Body(), maxAnswerBytes), held: r.held, copies: 1})
+	var outOfMemory *memoryError
+	if errors.As(err, &outOfMemory) {
 		answer.Discard()
 		s.directory.End(time.Now(), sent.choice, backend.Answered)
-		s.logMemoryBound(r, full.bound, true)
-		return &backend.Failure{Verdict: verdict.Ran, Reason: full.Error()}
+		s.logMemoryBound(r, outOfMemory.bound, true)
+		return &backend.Failure{Verdict: verdict.Ran, Reason: outOfMemory.Error()}
 	}
 	if err != nil {
 		answer.Discard()
 		s.directory.EndFailed(time.Now(), sent.choice, backend.Failed)
-		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer broke off: " + err.Error()}
+		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer was interrupted: " + err.Error()}
 		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	answer.Finish()
 	response := answer.Response
-	s.directory.EndFailed(time.Now(), sent.choice, endedWith(response.StatusCode))
+	s.directory.EndFailed(time.Now(), sent.choice, outcomeOfAnswer(response.StatusCode))
 	if response.StatusCode/100 == 2 {
 		s.observe(r, sent, time.Time{}, 0)
 	}
@@ -104,62 +105,62 @@
 	r.outcome.status = response.StatusCode
 	r.outcome.result = "answered"
 	w.WriteHeader(response.StatusCode)
-	s.writeWhole(w, r, body)
+	s.writeInChunks(w, r, body)
 	return nil
 }
 
-// writePiece is how many bytes a caller gets at once: it has the time for a write for each.
-const writePiece = 64 << 10
+// writeChunkBytes is how many bytes are written to a caller at once; each write has its own deadline.
+const writeChunkBytes = 64 << 10
 
-// writeWhole hands a whole answer to the caller. One that leaves, or reads nothing, gets an answer
-// that is cut off.
-func (s *Server) writeWhole(w http.ResponseWriter, r *request, body []byte) {
-	for piece := range slices.Chunk(body, writePiece) {
+// writeInChunks writes a complete answer to the caller. The answer of a caller that disconnects or
+// stops reading is cut off.
+func (s *Server) writeInChunks(w http.ResponseWriter, r *request, body []byte) {
+	for chunk := range slices.Chunk(body, writeChunkBytes) {
 		s.extendWriteDeadline(w, r)
-		if _, err := w.Write(piece); err != nil {
-			r.outcome.reason = s.writeFailure(err)
+		if _, err := w.Write(chunk); err != nil {
+			r.outcome.reason = s.writeErrorReason(err)
 			return
 		}
 	}
 }
 
-// writeFailure says why an answer could not be written to its caller.
-func (s *Server) writeFailure(err error) string {
+// writeErrorReason returns why an answer could not be written to its caller.
+func (s *Server) writeErrorReason(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "the caller read nothing for " + s.unreadTimeout.String()
 	}
-	return "the caller left"
+	return "the caller disconnected"
 }
 
-// observe tells the directory how long a whole answer took. firstAt is when its first
-// event came, if it was a stream.
-func (s *Server) observe(r *request, sent *attempt, firstAt time.Time, events int) {
+// observe reports to the directory, the tenant's share and the program's figures how long a
+// complete answer took. firstEventAt is when its first event was received, if it was a stream.
+func (s *Server) observe(r *request, sent *attempt, firstEventAt time.Time, events int) {
 	now := time.Now()
-	seen := backend.Observation{
+	observation := backend.Observation{
 		Kind: r.route.Name, Missing: sent.choice.Missing, Load: sent.choice.Load, Took: now.Sub(sent.sentAt), Events: events,
 	}
 	if events > 0 {
-		seen.First = firstAt.Sub(sent.sentAt)
+		observation.First = firstEventAt.Sub(sent.sentAt)
 	}
-	s.directory.Observe(now, sent.choice, seen)
-	s.recordTenantService(now, r, seen.Took)
-	s.programTurnEnded(now, r, seen.Took)
+	s.directory.Observe(now, sent.choice, observation)
+	s.recordTenantService(now, r, observation.Took)
+	s.recordProgramTurn(now, r, observation.Took)
 }
 
-// endedWith tells an instance's own failures from its answers.
-func endedWith(status int) backend.Ended {
+// outcomeOfAnswer distinguishes an instance's own failures from its other answers.
+func outcomeOfAnswer(status int) backend.Ended {
 	if status >= http.StatusInternalServerError {
 		return backend.Failed
 	}
 	return backend.Answered
 }
 
-// mayRetry reports whether the request may go to another instance after a run.
+// mayRetry reports whether the request may be sent to another instance after a run.
 func (s *Server) mayRetry(r *request) bool {
 	return r.route.Kind == route.Safe && r.outcome.sends < r.route.Attempts && time.Until(r.deadline) > minAnswerTimeout
 }
 
-// copyHeader passes an answer's headers on. The absence of a content type is kept.
+// copyHeader copies the headers that are forwarded. An absent content type stays absent.
 func copyHeader(to, from http.Header) {
 	for name, values := range forwardableHeaders(from) {
 		to[name] = values
--- a/internal/gateway/plain_test.go
+++ b/internal/gateway/plain_test.go
@@ -10,34 +10,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pieces records what is written at once, and fails after so many bytes.
-type pieces struct {
+// chunkRecorder records the size of each write, and fails once limit bytes were written.
+type chunkRecorder struct {
 	*httptest.ResponseRecorder
 	sizes []int
-	most  int
+	limit int
 }
 
-func (p *pieces) Write(piece []byte) (int, error) {
-	if p.Body.Len() >= p.most {
+func (p *chunkRecorder) Write(chunk []byte) (int, error) {
+	if p.Body.Len() >= p.limit {
 		return 0, os.ErrDeadlineExceeded
 	}
-	p.sizes = append(p.sizes, len(piece))
-	return p.ResponseRecorder.Write(piece)
+	p.sizes = append(p.sizes, len(chunk))
+	return p.ResponseRecorder.Write(chunk)
 }
 
-// A caller that reads steadily has the time for a write for each piece, however large the answer.
-func TestALargeAnswerIsWrittenInPieces(t *testing.T) {
-	s, body := gatewayOf(t), bytes.Repeat([]byte("x"), 3*writePiece+1)
-	caller := &pieces{ResponseRecorder: httptest.NewRecorder(), most: len(body)}
-	s.writeWhole(caller, &request{id: "r"}, body)
-	require.Equal(t, []int{writePiece, writePiece, writePiece, 1}, caller.sizes)
+// Each chunk has its own write deadline, so a caller that reads steadily receives an answer of any
+// size.
+func TestLargeAnswerIsWrittenInChunks(t *testing.T) {
+	s, body := newTestGateway(t), bytes.Repeat([]byte("x"), 3*writeChunkBytes+1)
+	caller := &chunkRecorder{ResponseRecorder: httptest.NewRecorder(), limit: len(body)}
+	s.writeInChunks(caller, &request{id: "r"}, body)
+	require.Equal(t, []int{writeChunkBytes, writeChunkBytes, writeChunkBytes, 1}, caller.sizes)
 	require.Equal(t, body, caller.Body.Bytes())
 }
 
-func TestACallerThatStopsReadingIsToldOfInTheLog(t *testing.T) {
-	s, r := gatewayOf(t), &request{id: "r", header: http.Header{}}
-	caller := &pieces{ResponseRecorder: httptest.NewRecorder(), most: writePiece}
-	s.writeWhole(caller, r, bytes.Repeat([]byte("x"), 3*writePiece))
+func TestLogsCallerThatStopsReading(t *testing.T) {
+	s, r := newTestGateway(t), &request{id: "r", header: http.Header{}}
+	caller := &chunkRecorder{ResponseRecorder: httptest.NewRecorder(), limit: writeChunkBytes}
+	s.writeInChunks(caller, r, bytes.Repeat([]byte("x"), 3*writeChunkBytes))
 	require.Len(t, caller.sizes, 1)
 	require.Contains(t, r.outcome.reason, "the caller read nothing for")
 }
--- a/internal/gateway/limitparts.go
+++ b/internal/gateway/programlimit.go
@@ -11,9 +11,9 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// programPart says which part of a program the request is, where credit of limits is set aside
-// for begun programs. A request without a program may be refused like a new one: nothing is
-// lost with it.
+// programPart returns which part of a program the request is, where credit of limits is reserved
+// for begun programs. A request without a program may be refused like a new program: no work
+// is lost with it.
 func (s *Server) programPart(r *request) quota.Part {
 	switch {
 	case !s.options.LoadControl || !s.options.LimitSetAside:
@@ -25,13 +25,14 @@
 	}
 }
 
-// awaitProgramAdmission holds a new program until there is room for it, or refuses it: one that may not
-// begin must not use up its tenant's limit, nor teach that programs are short.
+// awaitProgramAdmission waits until there is capacity for a new program, or refuses it. It is
+// called before the tenant's limit is checked: a program that may not begin must neither consume
+// its tenant's limit nor count as a shortage of the limit.
 func (s *Server) awaitProgramAdmission(ctx context.Context, r *request) *refusal {
-	for !s.mayBegin(r) {
-		if !s.holdProgram(ctx, r) {
-			last := &backend.Failure{Verdict: verdict.NotRun, Reason: "the time was over before the program could begin"}
-			return s.failed(ctx, r, r.failureOf(last), false)
+	for !s.admitProgram(r) {
+		if !s.awaitNextDecision(ctx, r) {
+			last := &backend.Failure{Verdict: verdict.NotRun, Reason: "the deadline passed before the program could begin"}
+			return s.refusalFor(ctx, r, r.failureIfHeld(last), false)
 		}
 	}
 	return nil
--- a/internal/gateway/limitparts_test.go
+++ b/internal/gateway/programlimit_test.go
@@ -15,24 +15,24 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-func TestWhichPartOfAProgramARequestIs(t *testing.T) {
+func TestProgramPart(t *testing.T) {
 	s := &Server{dialect: Dialect{Program: "X-Program"}, options: Options{LoadControl: true, LimitSetAside: true}}
-	of := func(program string, first bool) quota.Part {
+	part := func(program string, first bool) quota.Part {
 		return s.programPart(&request{header: http.Header{"X-Program": {program}}, firstOfProgram: first})
 	}
-	require.Equal(t, quota.PartFirst, of("p", true))
-	require.Equal(t, quota.PartLater, of("p", false), "also a call of a tool")
-	require.Equal(t, quota.PartFirst, of("", false))
+	require.Equal(t, quota.PartFirst, part("p", true))
+	require.Equal(t, quota.PartLater, part("p", false), "a tool call counts as well")
+	require.Equal(t, quota.PartFirst, part("", false))
 	for _, off := range []Options{{LoadControl: true}, {LimitSetAside: true}} {
 		s.options = off
-		require.Equal(t, quota.PartUntold, of("p", true))
+		require.Equal(t, quota.PartUntold, part("p", true))
 	}
 }
 
 // limitedProgram returns a gateway and the first request of a program whose tenant has a limit.
 func limitedProgram(t *testing.T) (s *Server, r *request, now time.Time) {
-	s = gatewayOf(t)
-	oneInstance(t, s, func(http.ResponseWriter, *http.Request) {})
+	s = newTestGateway(t)
+	addInstance(t, s, func(http.ResponseWriter, *http.Request) {})
 	s.options.LoadControl, s.options.LimitSetAside, s.options.ProgramAdmission = true, true, true
 	now = time.Now()
 	r = &request{
@@ -43,33 +43,33 @@
 	return s, r, now
 }
 
-// A program that is refused for want of room asks no lender: it must not use up its tenant's
-// limit.
-func TestAProgramThatMayNotBeginUsesNoAllowance(t *testing.T) {
+// A program that is refused for lack of capacity must not ask a lender, or it would use up its
+// tenant's limit.
+func TestRefusedProgramConsumesNoAllowance(t *testing.T) {
 	s, r, now := limitedProgram(t)
-	for number := range 200 { // twenty programs a second of two turns of a second, on two slots
+	for number := range 200 { // twenty programs a second, each of two turns of one second, on two slots
 		at := now.Add(time.Duration(number-200) * 50 * time.Millisecond)
 		began := admission.Beginning{Kind: r.programKind(), Program: fmt.Sprint(number), Left: time.Second}
 		s.programs.controller.Began(at, began)
 		s.programs.controller.TurnEnded(at, admission.Turn{Kind: began.Kind, Program: began.Program, First: true, Took: time.Second, Share: 1})
 		s.programs.controller.TurnEnded(at, admission.Turn{Kind: began.Kind, Program: began.Program, Took: time.Second, Share: 1})
 	}
-	refused := s.withinLimit(t.Context(), r)
+	refused := s.checkTenantLimit(t.Context(), r)
 	require.NotNil(t, refused)
-	require.Equal(t, "the programs under way leave no room for a new one", refused.reason)
+	require.Equal(t, "the programs in progress leave no capacity for a new one", refused.reason)
 	require.Equal(t, verdict.CodeOverloaded, refused.code)
 
 	s.options.ProgramAdmission = false
-	require.Equal(t, "no replicas are known yet", s.withinLimit(t.Context(), r).reason)
+	require.Equal(t, "no replicas are known yet", s.checkTenantLimit(t.Context(), r).reason)
 }
 
-// Callers beyond their tenant's limit come back again and again; no room is to be kept for them.
-func TestAProgramBeyondItsLimitAsksForNoSlots(t *testing.T) {
+// Callers beyond their tenant's limit retry often; no capacity must be reserved for them.
+func TestProgramBeyondTenantLimitAddsNoDemand(t *testing.T) {
 	s, r, now := limitedProgram(t)
 	const requests = 100
 	for range requests {
 		r.admission = admission.Decision{}
-		require.Equal(t, "no replicas are known yet", s.withinLimit(t.Context(), r).reason)
+		require.Equal(t, "no replicas are known yet", s.checkTenantLimit(t.Context(), r).reason)
 	}
 	decision := s.programs.controller.Decide(now, admission.Request{Kind: r.programKind(), Deadline: r.deadline}, admission.Load{Slots: 2})
 	require.Less(t, decision.Asked, requests/10.0)
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -18,7 +18,7 @@
 	"swiftbank.dev/swiftbank/internal/wait"
 )
 
-// programs is what this gateway knows of programs under way. It is safe for concurrent use.
+// programs holds what this gateway knows of programs in progress. It is safe for concurrent use.
 type programs struct {
 	log     *log.Logger
 	metrics *programMetrics
@@ -31,14 +31,14 @@
 	return &programs{log: log, metrics: newProgramMetrics(metrics), controller: admission.NewController()}
 }
 
-// decidesPrograms reports whether new programs of the request's kind are admitted by what
-// programs under way will need.
-func (s *Server) decidesPrograms(r *request) bool {
-	return s.options.ProgramAdmission && r.header.Get(s.dialect.Program) != "" && s.rationed(r)
+// admitsPrograms reports whether new programs of the request's kind are admitted by the expected
+// demand of programs in progress.
+func (s *Server) admitsPrograms(r *request) bool {
+	return s.options.ProgramAdmission && r.header.Get(s.dialect.Program) != "" && s.usesAdmissionControl(r)
 }
 
-// programLeft returns how much time the request's program has, 0 if it names none. One whose time
-// is over at this moment is late.
+// programLeft returns the time that the request's program has left: 0 if it names none, and
+// negative, never 0, once the time has passed.
 func (r *request) programLeft(now time.Time) time.Duration {
 	if r.programDeadline.IsZero() {
 		return 0
@@ -51,27 +51,27 @@
 	return admission.Kind{Service: r.service.Name, Route: r.route.Name, Rank: r.table.RankOf(r.route, r.service.Name)}
 }
 
-// mayBegin reports whether the program of a first request may begin now. Once admitted it stays
-// so: what it will use is counted from its first slot on.
-func (s *Server) mayBegin(r *request) bool {
-	if r.admission.Verdict == admission.Admit || !s.decidesPrograms(r) {
+// admitProgram reports whether the program of a first request may begin now. An admission is
+// final: the program's usage is counted from its first slot on.
+func (s *Server) admitProgram(r *request) bool {
+	if r.admission.Verdict == admission.Admit || !s.admitsPrograms(r) {
 		return true
 	}
 	now := time.Now()
 	capacity := s.directory.Capacity(now, r.service.Name)
 	load := admission.Load{Slots: capacity.Slots, Busy: capacity.Busy}
-	asked := admission.Request{ID: r.id, Kind: r.programKind(), Objective: r.arrived.Add(r.route.Objective), Deadline: r.deadline, Left: r.programLeft(now), Excess: s.tenantExcess(r)}
+	candidate := admission.Request{ID: r.id, Kind: r.programKind(), Objective: r.arrived.Add(r.route.Objective), Deadline: r.deadline, Left: r.programLeft(now), Excess: s.tenantExcess(r)}
 	s.programs.mu.Lock()
-	r.admission = s.programs.controller.Decide(now, asked, load)
+	r.admission = s.programs.controller.Decide(now, candidate, load)
 	s.programs.mu.Unlock()
-	s.programs.metrics.decided(asked.Kind, r.admission)
-	s.logAdmission(r, asked.Kind, load)
+	s.programs.metrics.observe(candidate.Kind, r.admission)
+	s.logAdmission(r, candidate.Kind, load)
 	return r.admission.Verdict == admission.Admit
 }
 
-// holdProgram pauses before it is decided again whether the request's program may begin. It
-// reports false when the program is refused, or its caller is gone.
-func (s *Server) holdProgram(ctx context.Context, r *request) bool {
+// awaitNextDecision pauses before the program's admission is decided again. It returns false if
+// the program is refused or its caller has disconnected.
+func (s *Server) awaitNextDecision(ctx context.Context, r *request) bool {
 	if r.admission.Verdict == admission.Refuse {
 		r.retryAfter = r.admission.Wait
 		return false
@@ -81,20 +81,20 @@
 	return wait.For(ctx, pause)
 }
 
-// isHeld reports whether the request's program may not begin now.
+// isHeld reports whether the last decision held or refused the request's program.
 func (r *request) isHeld() bool {
 	return r.admission.Verdict == admission.Hold || r.admission.Verdict == admission.Refuse
 }
 
-// failureOf returns the failure of a request that waits no longer; last is that of its last send.
-func (r *request) failureOf(last *backend.Failure) *backend.Failure {
+// failureIfHeld returns the failure of a request that stops waiting; last is that of its last send.
+func (r *request) failureIfHeld(last *backend.Failure) *backend.Failure {
 	if !r.isHeld() {
 		return last
 	}
-	return &backend.Failure{Verdict: verdict.NotRun, Reason: "the programs under way leave no room for a new one"}
+	return &backend.Failure{Verdict: verdict.NotRun, Reason: "the programs in progress leave no capacity for a new one"}
 }
 
-// withdrawProgram notes that the request's program does not begin, though there is room for it.
+// withdrawProgram records that the request's program does not begin although it was admitted.
 func (s *Server) withdrawProgram(r *request) {
 	if r.admission.Verdict != admission.Admit {
 		return
@@ -104,24 +104,24 @@
 	s.programs.controller.Withdrawn(time.Now(), r.programKind(), r.admission)
 }
 
-// programBegan notes that an instance took a program's first request.
-func (s *Server) programBegan(r *request) {
-	if !r.firstOfProgram || !s.decidesPrograms(r) {
+// recordProgramStart records that an instance accepted a program's first request.
+func (s *Server) recordProgramStart(r *request) {
+	if !r.firstOfProgram || !s.admitsPrograms(r) {
 		return
 	}
 	now := time.Now()
-	began := admission.Beginning{
+	start := admission.Beginning{
 		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), Left: r.programLeft(now), Share: s.shareInUse(now, r.service.Name),
 		Usual: r.admission.Usual,
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
-	s.programs.controller.Began(now, began)
+	s.programs.controller.Began(now, start)
 }
 
-// programTurnEnded learns from a request of a program that was answered whole.
-func (s *Server) programTurnEnded(now time.Time, r *request, took time.Duration) {
-	if !s.decidesPrograms(r) {
+// recordProgramTurn records the duration of a program's request that was answered completely.
+func (s *Server) recordProgramTurn(now time.Time, r *request, took time.Duration) {
+	if !s.admitsPrograms(r) {
 		return
 	}
 	turn := admission.Turn{
@@ -133,17 +133,17 @@
 	s.programs.controller.TurnEnded(now, turn)
 }
 
-// shareInUse returns the part of a service's slots that is believed to be in use.
+// shareInUse returns the estimated share of a service's slots that is in use.
 func (s *Server) shareInUse(now time.Time, service string) float64 {
 	capacity := s.directory.Capacity(now, service)
 	return float64(capacity.Busy) / float64(max(1, capacity.Slots))
 }
 
-// noteLostTurn learns from a later request of a program that got no whole answer. A request
-// whose program's other turns are charged is no first one.
-func (s *Server) noteLostTurn(r *request) {
+// recordLostTurn records a later request of a program that received no complete answer. A request
+// is a later one if other turns of its program are charged.
+func (s *Server) recordLostTurn(r *request) {
 	lost := r.outcome.result != "answered" && (r.outcome.status == http.StatusOK || r.outcome.status >= http.StatusTooManyRequests)
-	if !lost || r.outcome.otherCharges == 0 || !s.decidesPrograms(r) {
+	if !lost || r.outcome.otherCharges == 0 || !s.admitsPrograms(r) {
 		return
 	}
 	s.programs.mu.Lock()
@@ -151,7 +151,7 @@
 	s.programs.controller.TurnLost(time.Now(), r.programKind())
 }
 
-// logAdmission writes each decision that holds or refuses a program, and while room is short
+// logAdmission logs each decision that holds or refuses a program, and while capacity is short
 // those that admit one.
 func (s *Server) logAdmission(r *request, kind admission.Kind, load admission.Load) {
 	decision := r.admission
@@ -169,10 +169,10 @@
 		Int64("list_age_ms", s.instanceListAge().Milliseconds()).Float64("excess", r.outcome.tenantExcess).Msg("")
 }
 
-// ProgramSection returns the part of the load reports that tells of programs under way.
+// ProgramSection returns the section of the load reports for programs in progress.
 func (s *Server) ProgramSection() reportSection { return &programSection{programs: s.programs} }
 
-// programSection reports the programs under way and what was learned of them.
+// programSection reports the programs in progress and what was learned from them.
 type programSection struct {
 	programs *programs
 	versions newestVersions
@@ -181,18 +181,19 @@
 func (p *programSection) name() string { return "programs" }
 
 func (p *programSection) ownFigures(now time.Time) []byte {
-	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.Figures(now) })
+	return p.encode(func(c *admission.Controller) map[admission.Key]float64 { return c.Figures(now) })
 }
 
 func (p *programSection) zoneFigures(now time.Time) []byte {
-	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.ZoneFigures(now) })
+	return p.encode(func(c *admission.Controller) map[admission.Key]float64 { return c.ZoneFigures(now) })
 }
 
-func (p *programSection) encoded(figures func(*admission.Controller) map[admission.Key]float64) []byte {
+// encode returns the encoded figures of the controller.
+func (p *programSection) encode(figures func(*admission.Controller) map[admission.Key]float64) []byte {
 	p.programs.mu.Lock()
-	told := figures(p.programs.controller)
+	values := figures(p.programs.controller)
 	p.programs.mu.Unlock()
-	encoded, err := admission.Encode(told)
+	encoded, err := admission.Encode(values)
 	if err != nil {
 		p.programs.log.Error().Str("event", "program_report_failed").Err(err).Msg("")
 	}
@@ -213,11 +214,11 @@
 	p.programs.controller.Take(now, source, figures)
 }
 
-func (p *programSection) lasting(now time.Time) []byte {
-	return p.encoded(func(c *admission.Controller) map[admission.Key]float64 { return c.Lasting(now) })
+func (p *programSection) snapshot(now time.Time) []byte {
+	return p.encode(func(c *admission.Controller) map[admission.Key]float64 { return c.Lasting(now) })
 }
 
-func (p *programSection) recall(now time.Time, age time.Duration, encoded []byte) {
+func (p *programSection) restore(now time.Time, age time.Duration, encoded []byte) {
 	figures, err := admission.Decode(encoded)
 	if err != nil {
 		p.programs.log.Warn().Str("event", "program_report_unreadable").Err(err).Msg("")
@@ -228,17 +229,17 @@
 	p.programs.controller.Recall(now, figures, age)
 }
 
-// newestVersions keeps the newest report of each gateway. Reports of a whole zone come from any
-// of its gateways, whose numbers cannot be compared: the last one to come counts.
+// newestVersions tracks the newest report of each gateway. Reports on a whole zone come from any
+// of its gateways, whose numbers cannot be compared: the last one received counts.
 type newestVersions struct {
 	byGateway map[string]tally.Version
 }
 
-// mostVersions bounds the gateways whose versions are kept.
-const mostVersions = 4096
+// maxTrackedVersions bounds the gateways whose versions are tracked.
+const maxTrackedVersions = 4096
 
-// isNewer reports whether a report is newer than what its source said before. Only the
-// receiving goroutine calls it.
+// isNewer reports whether a report is newer than the previous ones from its source, and records
+// its version. Only the receiving goroutine may call it.
 func (n *newestVersions) isNewer(source tally.Source, version tally.Version) bool {
 	if source.Gateway == "" {
 		return true
@@ -246,14 +247,14 @@
 	if last, known := n.byGateway[source.Gateway]; known && !last.Before(version) {
 		return false
 	}
-	if n.byGateway == nil || len(n.byGateway) >= mostVersions {
+	if n.byGateway == nil || len(n.byGateway) >= maxTrackedVersions {
 		n.byGateway = map[string]tally.Version{}
 	}
 	n.byGateway[source.Gateway] = version
 	return true
 }
 
-// programMetrics show how new programs are admitted.
+// programMetrics are the metrics of program admission.
 type programMetrics struct {
 	decisions                 *prometheus.CounterVec
 	room, committed, reserved *prometheus.GaugeVec
@@ -277,7 +278,8 @@
 	}
 }
 
-func (m *programMetrics) decided(kind admission.Kind, decision admission.Decision) {
+// observe records a decision on a new program.
+func (m *programMetrics) observe(kind admission.Kind, decision admission.Decision) {
 	rank := strconv.Itoa(kind.Rank)
 	m.decisions.WithLabelValues(kind.Service, rank, decision.Verdict.String()).Inc()
 	if !decision.Known {
--- a/internal/gateway/programs_test.go
+++ b/internal/gateway/programs_test.go
@@ -15,8 +15,8 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// firstOfProgram returns the first request of a program, of a kind that the gateway knows to
-// ask for more than the one instance has.
+// firstOfProgram returns the first request of a program, of a kind whose known demand exceeds the
+// capacity of the only instance.
 func firstOfProgram(t *testing.T, s *Server) *request {
 	s.options.LoadControl, s.options.ProgramAdmission = true, true
 	s.dialect.Program = "X-Test-Program"
@@ -41,34 +41,34 @@
 			s.programs.controller.TurnEnded(now.Add(-8*time.Second), ended)
 		}
 	}
-	s.mayBegin(r) // the first decision brings what was learned to use
+	s.admitProgram(r) // the first decision applies what was learned
 	for range 100 {
-		s.programBegan(r)
+		s.recordProgramStart(r)
 	}
 	r.admission = admission.Decision{}
 	return r
 }
 
-func TestNewProgramIsRefusedWhileThoseUnderWayLeaveNoRoom(t *testing.T) {
-	s := gatewayOf(t)
+func TestNewProgramIsRefusedWithoutCapacity(t *testing.T) {
+	s := newTestGateway(t)
 	r := firstOfProgram(t, s)
-	require.False(t, s.mayBegin(r))
-	require.False(t, s.holdProgram(t.Context(), r))
-	failure := r.failureOf(&backend.Failure{})
+	require.False(t, s.admitProgram(r))
+	require.False(t, s.awaitNextDecision(t.Context(), r))
+	failure := r.failureIfHeld(&backend.Failure{})
 	require.Equal(t, verdict.NotRun, failure.Verdict)
-	require.Positive(t, s.failed(t.Context(), r, failure, false).retryAfter)
+	require.Positive(t, s.refusalFor(t.Context(), r, failure, false).retryAfter)
 }
 
-func TestProgramsThatHaveBegunAndOtherDeploymentsAreNotHeld(t *testing.T) {
+func TestProgramAdmissionAppliesOnlyToNewPrograms(t *testing.T) {
 	for name, change := range map[string]func(*Server, *request){
-		"begun":              func(_ *Server, r *request) { r.firstOfProgram = false },
-		"no program":         func(s *Server, r *request) { r.header.Del(s.dialect.Program) },
-		"switched off":       func(s *Server, _ *request) { s.options.ProgramAdmission = false },
-		"no load control":    func(s *Server, _ *request) { s.options.LoadControl = false },
-		"no streams of text": func(_ *Server, r *request) { r.service.Generates = false },
+		"begun":                      func(_ *Server, r *request) { r.firstOfProgram = false },
+		"no program":                 func(s *Server, r *request) { r.header.Del(s.dialect.Program) },
+		"program admission disabled": func(s *Server, _ *request) { s.options.ProgramAdmission = false },
+		"no load control":            func(s *Server, _ *request) { s.options.LoadControl = false },
+		"service without generation": func(_ *Server, r *request) { r.service.Generates = false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := gatewayOf(t)
+			s := newTestGateway(t)
 			r := firstOfProgram(t, s)
 			change(s, r)
 			require.True(t, s.admits(r))
@@ -76,14 +76,14 @@
 	}
 }
 
-func TestGatewaysHearOfEachOthersPrograms(t *testing.T) {
-	one, other := gatewayOf(t), gatewayOf(t)
-	r := firstOfProgram(t, one)
+func TestProgramSectionIsAppliedByOtherGateways(t *testing.T) {
+	reporting, other := newTestGateway(t), newTestGateway(t)
+	r := firstOfProgram(t, reporting)
 	now := time.Now()
-	said, heard := one.ProgramSection(), other.ProgramSection()
+	sender, receiver := reporting.ProgramSection(), other.ProgramSection()
 	source, version := tally.Source{Gateway: "one"}, tally.Version{Started: 1, Number: 2}
-	heard.apply(now, source, version, said.ownFigures(now))
-	heard.apply(now, source, tally.Version{Started: 1, Number: 1}, said.ownFigures(now.Add(time.Hour))) // overtaken
+	receiver.apply(now, source, version, sender.ownFigures(now))
+	receiver.apply(now, source, tally.Version{Started: 1, Number: 1}, sender.ownFigures(now.Add(time.Hour))) // received out of order
 	decision := other.programs.controller.Decide(now, admission.Request{ID: "x", Kind: r.programKind()}, admission.Load{Slots: 2})
 	require.True(t, decision.Known)
 	require.Equal(t, 1, decision.Sources)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -12,80 +12,81 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// request is one caller's attempt on its way through the gateway.
+// request is one attempt of a caller on its way through the gateway.
 type request struct {
 	id       string
 	arrived  time.Time
 	deadline time.Time
-	// programDeadline is when the request's program should be over; zero for requests of none.
+	// programDeadline is when the request's program should end; zero for requests without a program.
 	programDeadline time.Time
 	route           *route.Route
 	table           *route.Table
 	service         route.Service
-	// tenant is whose request it is; nil on public routes and where there are no tenants.
+	// tenant is the tenant that sent the request; nil on public routes and where there are no tenants.
 	tenant *tenant.Tenant
-	// keyFingerprint is what the log shows of the caller's key.
+	// keyFingerprint identifies the caller's key in the log.
 	keyFingerprint string
 	host           string
 	method         string
 	target         string
 	header         http.Header
 	body           []byte
-	// held is what the request holds of the memory for callers; nil where that is not bounded.
+	// held is the request's memory for callers; nil where that is not bounded.
 	held *holding
-	// lostAnswer is set once an instance may have run it and gave no whole answer.
+	// lostAnswer is set once an instance may have run the request without a complete answer.
 	lostAnswer bool
-	// firstOfProgram says that it is the firstOfProgram request of a program.
+	// firstOfProgram is set on the first request of a program.
 	firstOfProgram bool
-	// polls counts the polls that found no slot.
+	// polls is the number of polls that found no slot.
 	polls int
-	// admission is what was last decided about the beginning of its program, for first requests.
+	// admission is the last decision on the start of the request's program, for first requests.
 	admission admission.Decision
-	// retryAfter is when its caller may come back once it is refused for lack of room.
+	// retryAfter is the Retry-After of a request that is refused for lack of capacity.
 	retryAfter time.Duration
 	// outcome is filled in for the log line at the end.
 	outcome outcome
 }
 
-// outcome is what the log tells of a request.
+// outcome holds the values that the log line of a request contains.
 type outcome struct {
 	status   int
 	result   string
 	reason   string
 	instance string
-	// instanceStarted is when the instance started, in Unix milliseconds; 0 where it does not say.
+	// instanceStarted is the start time of the instance in Unix milliseconds; 0 if it does not report it.
 	instanceStarted uint64
 	sends           int
 	load            int
 	cost            float64
-	// expectedLoad is load as far as reports of the age reportsAgeMS let it be told.
+	// expectedLoad is the load as estimated from reports of the age reportsAgeMS.
 	expectedLoad float64
 	reportsAgeMS int64
-	// missingTokens is how many prompt tokens the instance was believed to have to read.
+	// missingTokens is the number of prompt tokens that the instance was estimated not to have cached.
 	missingTokens int
 	candidates    int
-	// lender was asked last for an allowance of the tenant's; limitMS is how long that took.
+	// lender was the last one asked for an allowance of the tenant; limitMS is how long the check
+	// of the limit took.
 	lender    string
 	limitMS   float64
 	reserveMS float64
 	firstMS   float64
 	commitMS  float64
 	events    int
-	// tenantExcess is how far above its fair share the tenant of a new program was.
+	// tenantExcess is how far the tenant of a new program was above its fair share.
 	tenantExcess float64
-	// otherCharges is what the program's other turns were charged, epoch the replica set's.
+	// otherCharges are the tokens charged for the program's other turns; epoch is the replica set's.
 	otherCharges int64
 	epoch        uint64
-	// askedAllRegions is set when all regions were asked on the program's budget.
+	// askedAllRegions is set when all regions were asked about the program's budget.
 	askedAllRegions bool
 }
 
-// hopByHopHeaders concern one connection only and are not passed on.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// forwardableHeaders returns the headers that go on to the next hop.
+// forwardableHeaders returns the headers that are forwarded to the next hop.
 func forwardableHeaders(header http.Header) http.Header {
 	forwardable := make(http.Header, len(header))
 	for name, values := range header {
@@ -102,7 +103,7 @@
 	return forwardable
 }
 
-// milliseconds reads a header of that unit; ok is false when it is absent or bad.
+// milliseconds parses a header in milliseconds; ok is false if it is absent or invalid.
 func milliseconds(header http.Header, name string) (time.Duration, bool) {
 	value, err := strconv.ParseFloat(strings.TrimSpace(header.Get(name)), 64)
 	if err != nil || value < 0 {
@@ -111,14 +112,14 @@
 	return time.Duration(value * float64(time.Millisecond)), true
 }
 
-// maxTokens returns the most that the request may generate.
+// maxTokens returns the maximum number of tokens that the request may generate.
 func maxTokens(header http.Header, name string) int64 {
 	_, limit, _ := strings.Cut(header.Get(name), ",")
 	value, _ := strconv.ParseInt(strings.TrimSpace(limit), 10, 64)
 	return value
 }
 
-// promptParts reads ID:TOKENS pairs separated by commas.
+// promptParts parses comma-separated ID:TOKENS pairs and skips those without a number.
 func promptParts(value string) []backend.Part {
 	if value == "" {
 		return nil
@@ -134,25 +135,25 @@
 	return parts
 }
 
-// The priorities that engines are told; 0 is the most urgent.
+// The priorities sent to engines; 0 is the most urgent.
 //
-// defaultPriority is given to requests of whatever tenant and route: an engine pushes running
-// requests out for more urgent ones and reads their prompts again from the start, which costs
-// more than the order gains.
+// defaultPriority is sent for all tenants and routes: an engine preempts running requests for
+// more urgent ones and processes their prompts again from the start, which costs more than the
+// order gains.
 //
-// latePriority is given to turns of programs whose time is over: they are late whatever happens,
-// and would make others late that can still end in time.
+// latePriority is sent for turns of programs whose time has passed: they are late in any case,
+// and would delay others that can still end in time.
 const (
 	defaultPriority = "5"
 	latePriority    = "6"
 )
 
-// instanceHeader returns the caller's headers that go on to an instance. Whose request it
-// is, what engines are to reserve and how urgent a request is are the product's to say; the
-// caller's words on it do not pass, and neither does its key.
+// instanceHeader returns the caller's headers that are forwarded to an instance. The tenant, the
+// memory that engines reserve and the priority are decided by the gateway: the caller's headers
+// for them are removed, and so is its key.
 //
-// Weighed: a list of the headers that may pass. Callers and instances agree on headers that
-// the product does not know, and those must arrive.
+// An allowlist of headers would not work: callers and instances agree on headers that the gateway
+// does not know, and those must be forwarded.
 func (s *Server) instanceHeader(r *request) http.Header {
 	header := forwardableHeaders(r.header)
 	for _, name := range s.dialect.EngineControlHeaders {
@@ -177,7 +178,7 @@
 	return r.tenant.Name
 }
 
-// instanceCall returns the request as it goes to an instance, with the time that remains.
+// instanceCall returns the request as sent to an instance, with its remaining time.
 func (s *Server) instanceCall(r *request, instance backend.Instance) backend.Call {
 	header := s.instanceHeader(r)
 	remaining := max(1, time.Until(r.deadline).Milliseconds())
@@ -191,8 +192,8 @@
 	}
 }
 
-// setProgramDeadline reads until when the request's program should be over. The time left is negative
-// once that is past.
+// setProgramDeadline parses when the request's program should end. The remaining time in the header
+// is negative once that is past.
 func (r *request) setProgramDeadline(header string) {
 	left, err := strconv.ParseFloat(strings.TrimSpace(r.header.Get(header)), 64)
 	if err == nil {
@@ -200,12 +201,12 @@
 	}
 }
 
-// programIsLate reports whether the request's program cannot end in time any more.
+// programIsLate reports whether the request's program has exceeded its time.
 func (r *request) programIsLate(now time.Time) bool {
 	return !r.programDeadline.IsZero() && !now.Before(r.programDeadline)
 }
 
-// enginePriority returns how urgent the request is at an engine.
+// enginePriority returns the request's priority at an engine.
 func (r *request) enginePriority(now time.Time) string {
 	if r.programIsLate(now) {
 		return latePriority
@@ -213,7 +214,8 @@
 	return defaultPriority
 }
 
-// programLeftMS returns how much time the program has left for the log, 0 for requests of none.
+// programLeftMS returns the program's remaining time on arrival for the log, 0 for requests
+// without a program.
 func (r *request) programLeftMS() int64 {
 	if r.programDeadline.IsZero() {
 		return 0
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A program that is late whatever happens must not make others late at an engine.
-func TestTurnsOfLateProgramsComeAfterOthers(t *testing.T) {
+// A program that is late in any case must not delay others at an engine.
+func TestLateProgramsHaveLowerEnginePriority(t *testing.T) {
 	arrived := time.Unix(1000, 0)
 	for left, expected := range map[string]string{
 		"": defaultPriority, "soon": defaultPriority, "1500": defaultPriority, "0.5": defaultPriority, "0": latePriority, "-20": latePriority,
@@ -21,5 +21,5 @@
 	r := &request{arrived: arrived, header: http.Header{"Left": {"1500"}}}
 	r.setProgramDeadline("Left")
 	require.Equal(t, int64(1500), r.programLeftMS())
-	require.Equal(t, latePriority, r.enginePriority(arrived.Add(1500*time.Millisecond)), "it waited until its time was over")
+	require.Equal(t, latePriority, r.enginePriority(arrived.Add(1500*time.Millisecond)), "the program's time passed while it waited")
 }
--- a/internal/gateway/reservation_test.go
+++ b/internal/gateway/reservation_test.go
@@ -15,8 +15,8 @@
 	"swiftbank.dev/swiftbank/internal/route"
 )
 
-// withReplica gives the gateway a cell of one replica, which keeps nothing on disk.
-func withReplica(t *testing.T, s *Server) {
+// addReplica gives the gateway a cell of one replica, which stores nothing on disk.
+func addReplica(t *testing.T, s *Server) {
 	listener, err := peer.Listen(t.Context(), "127.0.0.1:0")
 	require.NoError(t, err)
 	var mu sync.Mutex
@@ -40,24 +40,24 @@
 	require.Eventually(t, s.replicas.Reachable, 20*time.Second, time.Millisecond)
 }
 
-// What is under way at the replicas is sent to them again with each connection and each set. A
-// refused turn that stayed under way for good made each change of the set dearer than the one
-// before, until nothing else got through.
-func TestARefusedTurnLeavesNothingUnderWay(t *testing.T) {
-	s := gatewayOf(t)
+// Pending reservations are sent to the replicas again with each connection and each replica set. A
+// refused turn that stayed pending made each change of the set more expensive than the one
+// before, until no other traffic got through.
+func TestRefusedTurnLeavesNoPendingReservation(t *testing.T) {
+	s := newTestGateway(t)
 	s.dialect.Program, s.dialect.TokenBudget, s.dialect.TokenCount, s.dialect.PreviousTurn = "X-Test-Program", "X-Test-Budget", "X-Test-Tokens", "X-Test-Previous"
 	s.ConfigurationChanged(route.NewTable(2, []*route.Route{{
 		Name: "turn", Host: "apps.test", Prefix: "/turn/", Kind: route.Streaming, Attempts: 1, Timeout: 3 * time.Second, Retained: true, Retention: time.Minute,
 		Targets: []route.Target{{Service: "llm", Weight: 1}},
 	}}, []route.Service{{Name: "llm", TokensPerEvent: 1}}, route.Limits{}))
-	withReplica(t, s)
+	addReplica(t, s)
 	for name, test := range map[string]struct {
 		budget, previous string
 		status           int
 	}{
-		"its budget is spent":                  {"10", "", http.StatusPaymentRequired},
-		"the turn before is nowhere":           {"1000", "unknown", http.StatusServiceUnavailable},
-		"there is no instance that may run it": {"1000", "", http.StatusServiceUnavailable},
+		"budget exhausted":        {"10", "", http.StatusPaymentRequired},
+		"previous turn not found": {"1000", "unknown", http.StatusServiceUnavailable},
+		"no eligible instance":    {"1000", "", http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			request := httptest.NewRequest(http.MethodPost, "http://apps.test/turn/1", nil)
--- a/internal/gateway/reserve.go
+++ b/internal/gateway/reserve.go
@@ -11,24 +11,24 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// reserveTimeout is how long a turn waits for the replicas before it is refused. It holds
+// reserveTimeout is how long a turn waits for the replicas before it is refused. It allows for
 // two round trips between distant regions (60 ms each), with a connection opened for them,
 // and a try by another gateway.
 const reserveTimeout = 900 * time.Millisecond
 
-// nearTimeout is how long the own region's replicas may take where those of another region
-// could take the turn: a replica is known to be silent after 500 ms, and the rest of
-// reserveTimeout holds the other region's round trips.
-const nearTimeout = 600 * time.Millisecond
+// localReserveTimeout is how long the own region's replicas may take where those of another region
+// could store the turn: a replica is known to be silent after 500 ms, and the rest of
+// reserveTimeout covers the other region's round trips.
+const localReserveTimeout = 600 * time.Millisecond
 
-// reserve counts the turn against its program's budget and reads its history.
+// reserve reserves the turn's tokens in its program's budget and reads its history.
 func (s *Server) reserve(ctx context.Context, t *turn) *refusal {
 	if t.program == "" && t.previous == "" {
 		return nil
 	}
 	t.cell = s.replicas.Of(t.header.Get(s.dialect.Program), t.homes())
 	if t.cell == nil {
-		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known where the turn may be kept")
+		return refuseFor(verdict.CodeUnavailable, replicaRetry, "no replicas are known that may store the turn")
 	}
 	if s.isolated() {
 		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "this gateway reaches neither replicas nor other gateways")
@@ -36,13 +36,13 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	asked := ledger.Reserve{
+	reserveRequest := ledger.Reserve{
 		Program: t.program, Charge: ledger.Charge{Turn: t.id, Tokens: t.maxTokens},
 		Retention: t.route.Retention, History: t.previous, Tenant: t.tenantName(),
 	}
-	failure := s.reserveHistory(ctx, t, asked)
+	failure := s.reserveHistory(ctx, t, reserveRequest)
 	if failure == nil && t.program != "" {
-		failure = s.reserveBudget(ctx, t, asked)
+		failure = s.reserveBudget(ctx, t, reserveRequest)
 	}
 	t.outcome.reserveMS = millisecondsSince(began)
 	s.metrics.reserve.Observe(time.Since(began).Seconds())
@@ -54,10 +54,10 @@
 	return nil
 }
 
-// reserveHistory reserves the turn in its program's cell and finds its history, there or in
+// reserveHistory reserves the turn in its program's cell and reads its history from there or from
 // another cell.
-func (s *Server) reserveHistory(ctx context.Context, t *turn, asked ledger.Reserve) *refusal {
-	reservation, err := s.reserveNear(ctx, t, asked)
+func (s *Server) reserveHistory(ctx context.Context, t *turn, reserveRequest ledger.Reserve) *refusal {
+	reservation, err := s.reserveWithFailover(ctx, t, reserveRequest)
 	if err != nil {
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas answered")
 	}
@@ -71,56 +71,56 @@
 		return &refusal{status: http.StatusNotFound, code: verdict.CodeNotFound, reason: "the previous turn is another tenant's"}
 	}
 	if t.previous != "" && !reservation.Found && len(t.ancestors) == 0 {
-		// An unreachable cell may have it: this must not say that it does not exist.
+		// An unreachable cell may have it, so the refusal must not state that it does not exist.
 		return refuseFor(verdict.CodeUnavailable, replicaRetry, "the previous turn is not to be found now")
 	}
 	return nil
 }
 
-// reserveNear reserves the turn in its program's cell, or in another region's if that one has
-// just lost its quorum.
-func (s *Server) reserveNear(ctx context.Context, t *turn, asked ledger.Reserve) (*quorum.Reservation, error) {
+// reserveWithFailover reserves the turn in its program's cell, or in another region's cell if the
+// first one has just lost its quorum.
+func (s *Server) reserveWithFailover(ctx context.Context, t *turn, reserveRequest ledger.Reserve) (*quorum.Reservation, error) {
 	program := t.header.Get(s.dialect.Program)
 	if len(s.replicas.OfAllRegions(program)) < 2 {
-		return t.cell.Reserve(ctx, asked)
+		return t.cell.Reserve(ctx, reserveRequest)
 	}
-	near, cancel := context.WithTimeout(ctx, nearTimeout)
+	localCtx, cancel := context.WithTimeout(ctx, localReserveTimeout)
 	defer cancel()
-	reservation, err := t.cell.Reserve(near, asked)
+	reservation, err := t.cell.Reserve(localCtx, reserveRequest)
 	if err == nil {
 		return reservation, nil
 	}
 	other := s.replicas.Instead(t.cell, program, t.homes())
 	if other == nil {
-		return t.cell.Reserve(ctx, asked)
+		return t.cell.Reserve(ctx, reserveRequest)
 	}
 	s.log.Info().Str("event", "turn_kept_elsewhere").Str("id", t.id).Str("program", program).AnErr("error", err).Msg("")
 	t.cell, t.reservedElsewhere = other, true // the charge may be recorded in the first cell
-	return t.cell.Reserve(ctx, asked)
+	return t.cell.Reserve(ctx, reserveRequest)
 }
 
-// reserveBudget lets the turn run if the program's budget holds it: by the own region's share
+// reserveBudget checks that the program's budget covers the turn: by the own region's share
 // alone, or by the charges of all regions.
-func (s *Server) reserveBudget(ctx context.Context, t *turn, asked ledger.Reserve) *refusal {
+func (s *Server) reserveBudget(ctx context.Context, t *turn, reserveRequest ledger.Reserve) *refusal {
 	budget, _ := strconv.ParseInt(t.header.Get(s.dialect.TokenBudget), 10, 64)
 	escrow := quorum.Escrow{Budget: budget, Most: t.maxTokens, Regions: len(s.replicas.OfAllRegions(t.program))}
 	grant := escrow.InOwnRegion(t.reservation.Others)
 	if grant == quorum.AskEveryRegion {
 		t.reservedElsewhere, t.outcome.askedAllRegions = true, true
-		if err := s.replicas.ReserveElsewhere(ctx, t.reservation, asked); err != nil {
+		if err := s.replicas.ReserveElsewhere(ctx, t.reservation, reserveRequest); err != nil {
 			return refuseFor(verdict.CodeUnavailable, replicaRetry, "too few replicas of other regions answered on the program's budget")
 		}
 		t.outcome.otherCharges = t.reservation.Others
 		grant = escrow.InEveryRegion(t.reservation.Others)
 	}
-	s.metrics.escrow(grant, t.outcome.askedAllRegions)
+	s.metrics.countBudgetDecision(grant, t.outcome.askedAllRegions)
 	if grant == quorum.Exhausted {
-		return &refusal{status: http.StatusPaymentRequired, code: verdict.CodeBudgetExhausted, reason: "the program's budget holds no further turn"}
+		return &refusal{status: http.StatusPaymentRequired, code: verdict.CodeBudgetExhausted, reason: "the program's budget does not cover another turn"}
 	}
 	return nil
 }
 
-// settle replaces the reservation by what went to the caller.
+// settle replaces the reservation by the tokens that were sent to the caller.
 func (s *Server) settle(t *turn) {
 	if t.program == "" {
 		return
@@ -136,9 +136,9 @@
 	}
 }
 
-// awaitReservation holds the first event back until a quorum, in each region where the turn is
+// awaitReservation delays the first event until a quorum, in each region where the turn is
 // reserved, has synced the reservation: tokens that reach a caller must be counted whatever
-// is lost.
+// fails afterwards.
 func (s *Server) awaitReservation(ctx context.Context, t *turn) error {
 	if t.durable || t.program == "" {
 		return nil
--- a/internal/gateway/sections.go
+++ b/internal/gateway/sections.go
@@ -8,18 +8,18 @@
 	"swiftbank.dev/swiftbank/internal/tally"
 )
 
-// reportSection is a part of the load reports that belongs to one feature. Its figures travel
-// with each report, so they must stay few: a gateway sends up to 60 reports a second. Versions
-// that do not know a section pass over it.
+// reportSection is the part of the load reports that belongs to one feature. Its figures are sent
+// with each report, so they must stay small: a gateway sends up to 60 reports a second. Versions
+// that do not know a section ignore it.
 type reportSection interface {
-	// name is its key in the reports.
+	// name returns the section's key in the reports.
 	name() string
-	// ownFigures returns this gateway's figures, encoded, and zone those of the ownFigures zone's gateways
-	// together; nil leaves the section out.
+	// ownFigures returns this gateway's figures, encoded; zoneFigures returns the combined
+	// figures of the own zone's gateways. nil omits the section.
 	ownFigures(now time.Time) []byte
 	zoneFigures(now time.Time) []byte
-	// apply applies what a source reported, unless it is older than what that source said
-	// before.
+	// apply records what a source reported, unless it is older than that source's previous
+	// report.
 	apply(now time.Time, source tally.Source, version tally.Version, figures []byte)
 }
 
@@ -28,7 +28,7 @@
 	g.sections = append(g.sections, section)
 }
 
-// ownSections and zoneSections return what the sections tell in a report.
+// ownSections and zoneSections return the encoded sections of a report.
 func (g *Gossip) ownSections(now time.Time) map[string][]byte {
 	return g.encodeSections(func(section reportSection) []byte { return section.ownFigures(now) })
 }
@@ -52,8 +52,8 @@
 	return encoded
 }
 
-// applySections hands the figures of a report to its sections. A report of the own zone by
-// another gateway of it holds what is known here already.
+// applySections passes the figures of a report to its sections. A report on the own zone from
+// another of its gateways contains only what is known here already.
 func (g *Gossip) applySections(now time.Time, report loadReport) {
 	source := tally.Source{Gateway: report.Gateway}
 	switch report.Zone {
@@ -70,7 +70,7 @@
 	}
 }
 
-// encodeFigures returns figures as they travel in a section, nil if there are none.
+// encodeFigures returns figures in the encoding of a section, nil if there are none.
 func encodeFigures[K comparable](figures map[K]float64) []byte {
 	if len(figures) == 0 {
 		return nil
@@ -82,7 +82,7 @@
 	return message.Bytes()
 }
 
-// decodeFigures reads what encodeFigures wrote; ok is false where that cannot be read.
+// decodeFigures decodes what encodeFigures returned; ok is false if that is malformed.
 func decodeFigures[K comparable](encoded []byte) (figures map[K]float64, ok bool) {
 	err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&figures)
 	return figures, err == nil
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// maxRefusals is how many instances that refuse a request are asked in a row
-	// before the request waits or is refused.
+	// maxRefusals is how many instances in a row may refuse a request before the request waits
+	// or is refused.
 	maxRefusals = 3
-	// minAnswerTimeout is how long an instance may always take to begin its answer.
+	// minAnswerTimeout is the minimum time that an instance has to begin its answer.
 	minAnswerTimeout = 100 * time.Millisecond
 )
 
-// attempt is one send to an instance.
+// attempt is one send of a request to an instance.
 type attempt struct {
 	choice backend.Choice
 	answer *backend.Answer
 	sentAt time.Time
-	// firstEventAt is when the first event of a stream came; events counts them.
+	// firstEventAt is when the first event of a stream was received; events counts the events.
 	firstEventAt time.Time
 	events       int
-	// watch ends a stream whose instance's machine is gone; nil for other requests.
+	// watch cancels a stream whose instance's machine is gone; nil for other requests.
 	watch *livenessWatch
-	// stopOverdueWatch ends the watch for requests that are overdue.
+	// stopOverdueWatch stops the watch for an overdue first event.
 	stopOverdueWatch func()
 	// release frees what the attempt holds besides the answer.
 	release context.CancelFunc
 }
 
-// recordEvent notes an event of a stream.
+// recordEvent records that an event of the stream was received.
 func (a *attempt) recordEvent() {
 	now := time.Now()
 	if a.events == 0 {
@@ -45,27 +45,27 @@
 		a.stopOverdueWatch()
 	}
 	a.events++
-	a.watch.heard(now)
+	a.watch.recordActivity(now)
 }
 
-// sendUntilAccepted sends the request to one instance after another until one does
-// not refuse it. A failure's verdict says whether the request may have run.
+// sendUntilAccepted sends the request to one instance after another until one accepts it. A
+// failure's verdict states whether the request may have run.
 func (s *Server) sendUntilAccepted(ctx context.Context, r *request, demand backend.Demand) (*attempt, *backend.Failure) {
-	defer s.overload.left(r)
+	defer s.overload.remove(r)
 	refusals := 0
 	excludedBefore := len(demand.Exclude)
-	last := &backend.Failure{Verdict: verdict.NotRun, Reason: "no instance is known to be sound"}
+	lastFailure := &backend.Failure{Verdict: verdict.NotRun, Reason: "no healthy instance is known"}
 	for {
 		if !r.hasTimeToSend(time.Now()) {
 			return nil, &backend.Failure{Verdict: verdict.NotRun, Reason: "too little time is left to send the request"}
 		}
 		choice, found := s.pick(r, refusals, demand)
-		if failure := s.barred(demand, found); failure != nil {
+		if failure := s.placementFailure(demand, found); failure != nil {
 			return nil, failure
 		}
 		if !found && refusals == 0 && excludedBefore > 0 {
-			// The instances that ran the request are the only ones: rather one of them again
-			// than none.
+			// Only instances that ran the request before are available: ask one of them again
+			// rather than none.
 			excludedBefore, demand.Exclude = 0, nil
 			continue
 		}
@@ -74,7 +74,7 @@
 				return nil, failure
 			}
 			if !s.waitForSlot(ctx, r) {
-				return nil, r.failureOf(last)
+				return nil, r.failureIfHeld(lastFailure)
 			}
 			refusals = 0
 			demand.Exclude = demand.Exclude[:excludedBefore]
@@ -82,14 +82,14 @@
 		}
 		sent, failure := s.send(ctx, r, choice)
 		if failure == nil {
-			s.overload.taken(r)
-			s.programBegan(r)
+			s.overload.recordAccepted(r)
+			s.recordProgramStart(r)
 			return sent, nil
 		}
 		if failure.Verdict != verdict.NotRun || ctx.Err() != nil {
 			return nil, failure
 		}
-		last = failure
+		lastFailure = failure
 		refusals++
 		if demand.Only != "" && s.isGone(ctx, choice.Instance, failure) {
 			demand.Only = ""
@@ -98,14 +98,14 @@
 	}
 }
 
-// hasTimeToSend reports whether enough time is left to learn what becomes of a send. A request that
-// may have run already has nothing to lose by one more.
+// hasTimeToSend reports whether enough time is left to learn the outcome of a send. For a request
+// that may have run already, the outcome is uncertain anyway, so it may always be sent.
 func (r *request) hasTimeToSend(now time.Time) bool {
 	return r.lostAnswer || r.deadline.Sub(now) > overload.LeastSendTime(r.deadline.Sub(r.arrived))
 }
 
-// pick chooses an instance unless enough of them have refused the request in this poll, or it
-// may not ask while there is no room.
+// pick selects an instance. It finds none if enough instances have refused the request in this
+// poll, or if the request may not ask instances while there is no capacity.
 func (s *Server) pick(r *request, refusals int, demand backend.Demand) (backend.Choice, bool) {
 	if refusals >= maxRefusals || refusals == 0 && !s.admits(r) {
 		return backend.Choice{}, false
@@ -120,8 +120,8 @@
 	r.outcome.instance, r.outcome.instanceStarted = choice.Instance.ID, choice.Instance.Born
 	r.outcome.load, r.outcome.cost, r.outcome.candidates = choice.Load, choice.Cost, choice.Candidates
 	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missingTokens = choice.Expected, choice.ReportsAge.Milliseconds(), choice.Missing
-	s.metrics.sent(choice.Instance.Zone)
-	s.metrics.missing.Add(float64(choice.Missing))
+	s.metrics.countSend(choice.Instance.Zone)
+	s.metrics.missingTokens.Add(float64(choice.Missing))
 	sendCtx, release := context.WithCancel(ctx)
 	var watch *livenessWatch
 	if r.route.Kind == route.Streaming {
@@ -157,8 +157,8 @@
 	return &attempt{choice: choice, answer: answer, sentAt: sentAt, watch: watch, stopOverdueWatch: stopOverdueWatch, release: release}, nil
 }
 
-// outcomeOfFailedSend returns what a send without an answer tells of its instance. A gateway that slept
-// past its permit, or a caller that left, tells nothing of it.
+// outcomeOfFailedSend returns what a send without an answer implies for its instance: nothing if
+// the gateway was suspended beyond its permission to send, or the caller disconnected.
 func outcomeOfFailedSend(ctx context.Context, failure *backend.Failure) backend.Ended {
 	switch {
 	case failure.NotSent:
@@ -170,9 +170,9 @@
 	}
 }
 
-// instanceRefusal ends an answer by which an instance refused the request without running it,
-// and returns the refusal; nil if it took the request. Status 421 says that another instance
-// has the address now.
+// instanceRefusal returns the failure if the instance refused the request without running it, and
+// then consumes the answer; it returns nil if the instance accepted the request. Status 421 means
+// that the address now belongs to another instance.
 func (s *Server) instanceRefusal(choice backend.Choice, answer *backend.Answer) *backend.Failure {
 	status := answer.Response.StatusCode
 	misdirected := status == http.StatusMisdirectedRequest
@@ -182,7 +182,7 @@
 	if answer.Response.Header.Get(s.dialect.NotExecuted) == "" && !misdirected {
 		return nil
 	}
-	_, _ = io.Copy(io.Discard, answer.Body()) // read to keep the connection; a broken one is not kept
+	_, _ = io.Copy(io.Discard, answer.Body()) // drained so that the connection can be reused; a broken one is not reused
 	answer.Finish()
 	s.directory.End(time.Now(), choice, backend.Full)
 	return &backend.Failure{
@@ -191,9 +191,9 @@
 	}
 }
 
-// answerTimeout is how long an instance may take to begin its answer. A request that may
-// run again and has another attempt goes on elsewhere after twice its objective: an
-// instance that fell silent is not known to be gone for seconds.
+// answerTimeout returns how long an instance may take to begin its answer. A request that may
+// run again and has another attempt left is retried elsewhere after twice its objective: it
+// takes seconds until a silent instance is known to be gone.
 func (s *Server) answerTimeout(r *request) time.Duration {
 	remaining := time.Until(r.deadline)
 	if !s.mayRetry(r) || r.route.Objective <= 0 {
@@ -202,7 +202,7 @@
 	return min(remaining, max(minAnswerTimeout, 2*r.route.Objective))
 }
 
-// logSendFailure writes a send without a usable answer.
+// logSendFailure logs a send without a usable answer.
 func (s *Server) logSendFailure(r *request, choice backend.Choice, failure *backend.Failure) {
 	s.log.Warn().Str("event", "send_failed").Str("id", r.id).Str("instance", choice.Instance.ID).
 		Str("verdict", failure.Verdict.String()).Str("reason", failure.Reason).Int("load", choice.Load).
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -20,27 +20,27 @@
 )
 
 const (
-	// defaultDeadline holds for requests that name none.
+	// defaultDeadline applies to requests without a deadline of their own.
 	defaultDeadline = 30 * time.Second
 	// defaultBody and defaultHeader bound requests before the configuration is known.
 	defaultBody   = 4 << 20
 	defaultHeader = 64 << 10
-	// idleTimeout is how long a caller's connection may rest; longer than any
-	// configuration allows callers to reuse one.
+	// idleTimeout is how long a caller's connection may be idle. It is longer than callers reuse
+	// one in any configuration.
 	idleTimeout = 2 * time.Minute
-	// headerTimeout is how long a caller may take for a header.
+	// headerTimeout is how long a caller may take to send a header.
 	headerTimeout = 10 * time.Second
-	// drainDelay is how long new callers may still come after readiness ended.
+	// drainDelay is how long new callers are still accepted after readiness ended.
 	drainDelay = 2500 * time.Millisecond
-	// drainPollInterval is how often a stop looks whether the last request ended.
+	// drainPollInterval is how often a stopping gateway checks whether requests are in flight.
 	drainPollInterval = 25 * time.Millisecond
-	// maxConfigurationStaleness is how long the configuration may be stale before a route that it
-	// lacks is no longer taken not to exist. It is below the least time in which a change
-	// must be in force on any deployment so far (2 s).
+	// maxConfigurationStaleness is how long the configuration may be stale before a request
+	// without a matching route is no longer answered with 404. It is below the shortest time in
+	// which any deployment requires a change to be in force (2 s).
 	maxConfigurationStaleness = 1500 * time.Millisecond
 )
 
-// Options are what a gateway is made of.
+// Options configure a gateway.
 type Options struct {
 	Node      string
 	Zone      string
@@ -49,33 +49,33 @@
 	Replicas  *quorum.Cells
 	Log       *log.Logger
 	Metrics   *Metrics
-	// Evacuations says that the operator may evacuate zones: then nothing is served before
-	// it is known which ones are.
+	// Evacuations is set where the operator may evacuate zones. Nothing is served then before the
+	// evacuated zones are known.
 	Evacuations bool
-	// Copies is how many disks must hold a turn before it counts.
+	// Copies is the number of disks that must have stored a turn before it is acknowledged.
 	Copies int
-	// LoadControl says that the operator asks for load control on all services.
+	// LoadControl enables load control on all services.
 	LoadControl bool
-	// InstanceSpeeds places requests by the speeds of single instances where load control is on.
+	// InstanceSpeeds places requests by the estimated speeds of instances where load control applies.
 	InstanceSpeeds bool
-	// ReportsAge says that other gateways' reports of load count less the older they are, where
-	// load control decides.
+	// ReportsAge weighs other gateways' load reports less the older they are, where load control
+	// applies.
 	ReportsAge bool
-	// HeldBytes bounds what is held for callers, where load control decides; 0 does not.
+	// HeldBytes bounds the memory held for callers where load control applies; 0 means no bound.
 	HeldBytes int64
-	// ProgramAdmission says that new programs are admitted by what programs under way will
-	// need, where load control decides.
+	// ProgramAdmission admits new programs by the expected demand of programs in progress, where
+	// load control applies.
 	ProgramAdmission bool
-	// LimitSetAside says that, under load control, credit of tenants' limits is set aside for
-	// begun programs.
+	// LimitSetAside reserves, under load control, credit of tenants' limits for programs that have
+	// begun.
 	LimitSetAside bool
-	// FairShares says that, under load control, tenants share scarce room fairly.
+	// FairShares makes tenants share scarce capacity fairly under load control.
 	FairShares bool
-	// ColdStarts is by how much cold instances may get more than their limit.
+	// ColdStarts determines by how much cold instances may exceed their limit.
 	ColdStarts coldstart.Policy
 }
 
-// Server is one gateway.
+// Server is a gateway.
 type Server struct {
 	options   Options
 	dialect   Dialect
@@ -87,42 +87,43 @@
 
 	table          atomic.Pointer[route.Table]
 	instancesKnown atomic.Bool
-	// instancesKnownAt is when the first list of instances came, since the start; evacuationsKnown is
-	// set once it is known which zones are evacuated.
+	// instancesKnownAt is when the first list of instances was received, as a duration since
+	// started; evacuationsKnown is set once the evacuated zones are known.
 	instancesKnownAt atomic.Int64
 	evacuationsKnown atomic.Bool
-	// gatewayCount is how many the registry lists.
+	// gatewayCount is the number of gateways that the registry lists.
 	gatewayCount atomic.Int64
-	// stopping ends readiness; ending refuses what is not yet passed on.
+	// stopping ends readiness; closing refuses requests that are not forwarded yet.
 	stopping atomic.Bool
 	closing  atomic.Bool
-	// gossip tells whether other gateways are heard of; nil before the registry was read.
-	// wasIsolated is what isolated said last.
+	// gossip exchanges reports with other gateways; nil before the registry was read.
+	// wasIsolated is the last result of isolated.
 	gossip      atomic.Pointer[Gossip]
 	wasIsolated atomic.Bool
-	// drainDeadline is when a planned stop cuts what is left, in nanoseconds since the start. It
-	// is set once no new callers come; zero before.
+	// drainDeadline is when a graceful stop aborts the remaining requests, in nanoseconds since
+	// started. It is set once no new connections are accepted, and 0 before.
 	drainDeadline atomic.Int64
-	// feedStatus says how fresh configuration and instances are; nil before that is known.
+	// feedStatus is the freshness of configuration and instances; nil before that is known.
 	feedStatus atomic.Pointer[feedStatus]
-	// instancesChangedAt is when the list of instances last changed, since the start.
+	// instancesChangedAt is when the list of instances last changed, as a duration since started.
 	instancesChangedAt atomic.Int64
 	started            time.Time
 
-	// allowances are what this gateway may let through of tenants with a limit.
+	// allowances holds what this gateway may still accept from tenants with a limit.
 	allowances *allowances
 	// overload holds the requests that wait for a slot at an instance.
 	overload *queues
-	// shares is the service that tenants had of late.
+	// shares tracks the recent service of tenants.
 	shares *tenantShares
-	// held counts the memory held for callers; nil where it is not bounded. unreadLimit is how
-	// long they may leave an answer unread.
+	// held accounts for the memory held for callers; nil where it is not bounded. unreadTimeout is
+	// how long callers may leave an answer unread.
 	held          *heldMemory
 	unreadTimeout time.Duration
-	// programs are those under way.
+	// programs tracks the programs in progress.
 	programs *programs
 
-	// members reads the product's own objects; changes of them are handed over one by one.
+	// members parses the registry's objects on this system itself; they are applied one change at a
+	// time.
 	members *replicaset.Reader
 
 	mu       sync.Mutex
@@ -130,7 +131,7 @@
 	inFlight atomic.Int64
 }
 
-// New returns a gateway that knows nothing yet.
+// New returns a gateway without configuration, instances or replicas.
 func New(options Options) *Server {
 	s := &Server{
 		options: options, dialect: options.Dialect, log: options.Log, directory: options.Directory,
@@ -141,20 +142,20 @@
 	s.pool = backend.NewPool(s.metrics.connections.Inc)
 	s.pool.UseFar(s.directory.OtherRegion)
 	s.directory.UseConnections(s.pool)
-	s.metrics.countHeld(s.held.held)
-	s.metrics.countEvacuated(s.directory.EvacuatedInFlight)
+	s.metrics.registerHeld(s.held.held)
+	s.metrics.registerEvacuated(s.directory.EvacuatedInFlight)
 	s.directory.LimitColdStarts(options.Node, options.ColdStarts, coldObserver{log: s.log, metrics: s.metrics})
 	return s
 }
 
-// Ready reports whether new callers may come.
+// Ready reports whether the gateway accepts new callers.
 func (s *Server) Ready() bool {
-	return !s.stopping.Load() && s.table.Load() != nil && s.isInformed() && !s.isolated()
+	return !s.stopping.Load() && s.table.Load() != nil && s.hasPlacementState() && !s.isolated()
 }
 
-// isolated reports whether this gateway reaches neither a quorum of replicas nor another
-// gateway that could relay: callers are served better elsewhere. While replicas are
-// missing for all, gateways still hear of each other, and none is isolated.
+// isolated reports whether this gateway reaches neither a quorum of replicas nor another gateway
+// that could relay to one; other gateways serve callers better then. While the replicas are
+// unavailable to all gateways, these still receive each other's reports, and none is isolated.
 func (s *Server) isolated() bool {
 	gossip := s.gossip.Load()
 	isolated := gossip != nil && gossip.PeersTimedOut(time.Now()) && !s.replicas.Reachable()
@@ -164,8 +165,8 @@
 	return isolated
 }
 
-// Serve serves callers until the context ends, then lets those in progress end and
-// returns no later than the grace allows.
+// Serve serves callers on the address until the context ends, then drains the requests in
+// progress. It returns no later than the grace period after that.
 func (s *Server) Serve(ctx context.Context, address string, grace time.Duration) error {
 	listener, err := peer.Listen(ctx, address)
 	if err != nil {
@@ -185,10 +186,10 @@
 	return s.stop(server, listener, grace)
 }
 
-// stop ends the gateway: no new callers, each answer asks its caller to close the
-// connection, and requests in progress run to their end. Kept connections are not
-// closed under their callers: a request may be on its way on any of them, and the
-// library's own shutdown has closed one whose request was being read.
+// stop drains the gateway: it accepts no new connections, each answer asks its caller to close the
+// connection, and requests in progress run to their end. Idle connections are not closed first,
+// because a request may be on its way on any of them: http.Server.Shutdown has closed one whose
+// request was being read.
 func (s *Server) stop(server *http.Server, listener net.Listener, grace time.Duration) error {
 	s.stopping.Store(true)
 	s.log.Info().Str("event", "stopping").Int64("in_flight", s.inFlight.Load()).Msg("")
@@ -202,7 +203,7 @@
 	for s.inFlight.Load() > 0 && wait.For(ctx, drainPollInterval) {
 	}
 	s.closing.Store(true)
-	// Requests read at this moment are refused; they get their answers first.
+	// Requests that are being read at this moment are refused; leave time for those answers.
 	wait.For(context.Background(), drainPollInterval)
 	if remaining := s.inFlight.Load(); remaining > 0 {
 		s.log.Warn().Str("event", "stop_cut").Int64("in_flight", remaining).Msg("")
@@ -210,9 +211,9 @@
 	return server.Close()
 }
 
-// drainEndsBefore reports whether the gateway is at the end of a planned stop and may be gone
-// before the given time. What callers still send on kept connections is refused then:
-// taken, it might be cut.
+// drainEndsBefore reports whether the gateway is at the end of a graceful stop and may exit before
+// the given time. Requests that callers still send on open connections are refused then, because
+// they could be aborted.
 func (s *Server) drainEndsBefore(deadline time.Time) bool {
 	endsAt := s.drainDeadline.Load()
 	return endsAt != 0 && deadline.After(s.started.Add(time.Duration(endsAt)))
@@ -228,7 +229,7 @@
 	}
 	defer s.finish(r)
 	defer func() { r.held.release() }()
-	s.extendWriteDeadline(w, r) // the limit of the connection's last request may be over
+	s.extendWriteDeadline(w, r) // the deadline of the connection's previous request may have passed
 	if s.stopping.Load() || s.wasIsolated.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -236,7 +237,7 @@
 		s.refuse(w, r, failure)
 		return
 	}
-	if failure := s.refusalIfBarred(r); failure != nil {
+	if failure := s.refuseIfIneligible(r); failure != nil {
 		s.refuse(w, r, failure)
 		return
 	}
@@ -249,7 +250,7 @@
 	s.servePlain(ctx, w, r)
 }
 
-// finish writes the request's log line and counts it.
+// finish logs the request and counts it.
 func (s *Server) finish(r *request) {
 	o := &r.outcome
 	took := time.Since(r.arrived)
@@ -258,8 +259,8 @@
 	if r.route != nil {
 		name, version = r.route.Name, r.table.Version
 	}
-	s.metrics.request(o, took)
-	s.noteLostTurn(r)
+	s.metrics.observeRequest(o, took)
+	s.recordLostTurn(r)
 	s.log.Info().Str("event", "request").Str("id", r.id).Str("program", r.header.Get(s.dialect.Program)).
 		Str("tenant", r.tenantName()).Str("key_fingerprint", r.keyFingerprint).Str("route", name).Uint64("config", version).Str("service", r.service.Name).
 		Int("status", o.status).Str("result", o.result).Str("reason", o.reason).
--- a/internal/gateway/slowreader_test.go
+++ b/internal/gateway/slowreader_test.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// slowEvents of slowEventBytes each are several times what the sockets of a slow reader hold.
-	slowEvents     = 64
-	slowEventBytes = 4 << 10
-	slowSocket     = 8 << 10
+	// slowEvents of slowEventBytes each are several times what a slow reader's sockets buffer.
+	slowEvents      = 64
+	slowEventBytes  = 4 << 10
+	slowSocketBytes = 8 << 10
 )
 
-// withSmallSockets starts a server whose connections hold little that is unread.
-func withSmallSockets(t *testing.T, handler http.HandlerFunc) string {
+// newSmallBufferServer starts a server whose connections buffer little unread data.
+func newSmallBufferServer(t *testing.T, handler http.HandlerFunc) string {
 	server := httptest.NewUnstartedServer(handler)
 	server.Config.ConnContext = func(ctx context.Context, connection net.Conn) context.Context {
-		_ = connection.(*net.TCPConn).SetWriteBuffer(slowSocket)
+		_ = connection.(*net.TCPConn).SetWriteBuffer(slowSocketBytes)
 		return ctx
 	}
 	server.Start()
@@ -41,15 +41,15 @@
 }
 
 // streamingGateway returns a gateway with one instance, which streams more than slow readers'
-// sockets hold and counts what it began, and the gateway's address.
-func streamingGateway(t *testing.T, heldBytes int64) (s *Server, address string, began *atomic.Int64) {
-	s = gatewayOf(t)
+// sockets buffer and counts the requests that it started, and the gateway's address.
+func streamingGateway(t *testing.T, heldBytes int64) (s *Server, address string, started *atomic.Int64) {
+	s = newTestGateway(t)
 	s.options.LoadControl, s.held = true, newHeldMemory(heldBytes)
 	s.dialect.Signature, s.dialect.NotExecuted = "X-Test-Signature", "X-Test-Not-Executed"
 	s.dialect.ExpectedInstance, s.dialect.Priority, s.dialect.LastEvent = "X-Test-Instance", "X-Test-Priority", "X-Test-Last"
-	began = &atomic.Int64{}
-	engine := withSmallSockets(t, func(w http.ResponseWriter, r *http.Request) {
-		began.Add(1)
+	started = &atomic.Int64{}
+	engine := newSmallBufferServer(t, func(w http.ResponseWriter, r *http.Request) {
+		started.Add(1)
 		w.Header().Set("X-Test-Id", r.Header.Get("X-Test-Id"))
 		w.Header().Set("X-Test-Signature", "s")
 		for i := range slowEvents {
@@ -65,26 +65,26 @@
 	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{
 		ID: "i", Service: "llm", Zone: "z", Address: engine, Slots: 4000,
 	}}}, false)
-	return s, withSmallSockets(t, s.handle), began
+	return s, newSmallBufferServer(t, s.handle), started
 }
 
-// askSlowly asks for a stream and reads nothing of it.
-func askSlowly(t *testing.T, address string, number int) net.Conn {
+// requestWithoutReading requests a stream and reads nothing of it.
+func requestWithoutReading(t *testing.T, address string, number int) net.Conn {
 	connection, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
-	require.NoError(t, connection.(*net.TCPConn).SetReadBuffer(slowSocket))
+	require.NoError(t, connection.(*net.TCPConn).SetReadBuffer(slowSocketBytes))
 	_, err = fmt.Fprintf(connection, "GET /turn/1 HTTP/1.1\r\nHost: apps.test\r\nX-Test-Id: r%d\r\n\r\n", number)
 	require.NoError(t, err)
 	return connection
 }
 
-// Without a limit of time the caller's request, and its instance's connection, were held for
-// good. What it was sent must not look whole.
-func TestACallerThatReadsNothingIsCutOff(t *testing.T) {
+// Without a write deadline such a caller's request, and its instance's connection, were held
+// forever. The aborted answer must not look complete.
+func TestDisconnectsCallerThatReadsNothing(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
 	s.unreadTimeout = 300 * time.Millisecond
-	caller := askSlowly(t, address, 1)
+	caller := requestWithoutReading(t, address, 1)
 	require.Eventually(t, func() bool { return s.inFlight.Load() == 1 }, 20*time.Second, time.Millisecond)
 	require.Eventually(t, func() bool { return s.inFlight.Load() == 0 }, 20*time.Second, 5*time.Millisecond)
 	require.Zero(t, s.held.held())
@@ -94,7 +94,7 @@
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestACallerThatNeverEndsItsBodyIsCutOff(t *testing.T) {
+func TestDisconnectsCallerWithIncompleteBody(t *testing.T) {
 	s, address, began := streamingGateway(t, 8<<20)
 	s.unreadTimeout = 300 * time.Millisecond
 	caller, err := net.Dial("tcp", address)
@@ -109,25 +109,26 @@
 	require.Eventually(t, func() bool { return s.inFlight.Load() == 0 && s.held.held() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// A request may be under way for longer than its caller may leave an answer unread.
-func TestARefusalAfterALongWaitReachesItsCaller(t *testing.T) {
+// A request may be in progress for longer than its caller may leave an answer unread.
+func TestRefusalAfterLongRequestReachesCaller(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
 	s.unreadTimeout = 50 * time.Millisecond
-	broken := withSmallSockets(t, func(http.ResponseWriter, *http.Request) {
+	broken := newSmallBufferServer(t, func(http.ResponseWriter, *http.Request) {
 		<-time.After(4 * s.unreadTimeout)
 		panic(http.ErrAbortHandler)
 	})
 	s.directory.Change(time.Now(), backend.Changes{All: true, Listed: []backend.Instance{{ID: "i", Service: "llm", Zone: "z", Address: broken, Slots: 1}}}, false)
-	answer, err := http.ReadResponse(bufio.NewReader(askSlowly(t, address, 1)), nil)
+	answer, err := http.ReadResponse(bufio.NewReader(requestWithoutReading(t, address, 1)), nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadGateway, answer.StatusCode)
 }
 
-// The limit is one of each write: who reads on, however slowly, gets the whole answer.
-func TestASlowCallerThatReadsOnGetsTheWholeAnswer(t *testing.T) {
+// The deadline applies to each write: a caller that keeps reading, however slowly, receives the
+// whole answer.
+func TestSlowReaderReceivesCompleteAnswer(t *testing.T) {
 	s, address, _ := streamingGateway(t, 8<<20)
 	s.unreadTimeout = time.Second
-	caller := askSlowly(t, address, 1)
+	caller := requestWithoutReading(t, address, 1)
 	answer, err := http.ReadResponse(bufio.NewReaderSize(caller, 512), nil)
 	require.NoError(t, err)
 	began, read := time.Now(), 0
@@ -145,15 +146,15 @@
 	require.Greater(t, time.Since(began), s.unreadTimeout)
 }
 
-// A thousand callers that read nothing: as many are served as the memory for them holds, and
-// the others are refused before their requests reach an instance.
-func TestAThousandSlowReadersStayWithinTheMemory(t *testing.T) {
+// Of a thousand callers that read nothing, as many are served as fit into the memory; the others
+// are refused before their requests reach an instance.
+func TestManySlowReadersStayWithinMemoryBound(t *testing.T) {
 	const readers, heldBytes = 1000, 8 << 20
 	s, address, began := streamingGateway(t, heldBytes)
 	s.unreadTimeout = 2 * time.Second
 	var callers []net.Conn
 	for i := range readers {
-		callers = append(callers, askSlowly(t, address, i))
+		callers = append(callers, requestWithoutReading(t, address, i))
 		require.LessOrEqual(t, s.held.held(), float64(memorybudget.LimitsOf(heldBytes).All))
 	}
 	served, refused := 0, 0
@@ -169,11 +170,11 @@
 	}
 	require.Equal(t, readers, served+refused)
 	require.Positive(t, refused)
-	require.EqualValues(t, served, began.Load(), "what was refused has not run")
+	require.EqualValues(t, served, began.Load(), "refused requests must not have run")
 	require.Eventually(t, func() bool { return s.held.held() == 0 }, 20*time.Second, 5*time.Millisecond)
 }
 
-func TestABodyThatDoesNotFitIsRefusedBeforeItRuns(t *testing.T) {
+func TestOversizedBodyIsRefusedBeforeItRuns(t *testing.T) {
 	s, address, began := streamingGateway(t, 1<<20)
 	limit := memorybudget.LimitsOf(1 << 20).Request
 	for _, size := range []int64{limit/bodyCopies - requestOverheadBytes/bodyCopies - 1<<10, limit} {
@@ -196,16 +197,16 @@
 	require.Zero(t, s.held.held())
 }
 
-// zeros is a source without an end.
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(buffer []byte) (int, error) { return len(buffer), nil }
 
-// Nothing is bounded where load control does not decide.
-func TestWithoutLoadControlNothingIsBounded(t *testing.T) {
-	s := gatewayOf(t)
+// Memory is bounded only where load control applies.
+func TestMemoryIsUnboundedWithoutLoadControl(t *testing.T) {
+	s := newTestGateway(t)
 	s.held = newHeldMemory(1)
-	require.Equal(t, http.StatusServiceUnavailable, ask(s, "40").Code)
+	require.Equal(t, http.StatusServiceUnavailable, sendCall(s, "40").Code)
 	require.Zero(t, s.held.held())
 	r := &request{table: s.table.Load(), route: s.table.Load().Match("apps.test", "/call/1")}
 	require.False(t, s.boundsMemory(r))
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -18,8 +18,8 @@
 
 const deadlineHeader = "X-Test-Deadline"
 
-// gatewayOf returns a gateway with one route of plain calls and no instances.
-func gatewayOf(t *testing.T) *Server {
+// newTestGateway returns a gateway with one route of plain calls and no instances.
+func newTestGateway(t *testing.T) *Server {
 	quiet := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	s := New(Options{
 		Node: "g", Zone: "z", Dialect: Dialect{Deadline: deadlineHeader, RequestID: "X-Test-Id"},
@@ -35,7 +35,8 @@
 	return s
 }
 
-func ask(s *Server, deadlineMS string) *httptest.ResponseRecorder {
+// sendCall sends a request with the given deadline in milliseconds.
+func sendCall(s *Server, deadlineMS string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "http://apps.test/call/1", nil)
 	request.Header.Set(deadlineHeader, deadlineMS)
 	recorder := httptest.NewRecorder()
@@ -43,14 +44,14 @@
 	return recorder
 }
 
-// F18: what a stop takes last must not be cut.
-func TestAStopRefusesWhatItCouldNotFinish(t *testing.T) {
-	s := gatewayOf(t)
-	require.Contains(t, ask(s, "100").Body.String(), "overloaded", "there is no instance")
+// A stopping gateway must not accept a request that it would abort before its deadline.
+func TestStoppingGatewayRefusesRequestsItMayAbort(t *testing.T) {
+	s := newTestGateway(t)
+	require.Contains(t, sendCall(s, "100").Body.String(), "overloaded", "there is no instance")
 	s.drainDeadline.Store(int64(time.Since(s.started) + time.Second))
-	late := ask(s, "2000")
+	late := sendCall(s, "2000")
 	require.Equal(t, http.StatusServiceUnavailable, late.Code)
 	require.Contains(t, late.Body.String(), "unavailable")
 	require.NotEmpty(t, late.Header().Get("Retry-After"))
-	require.Contains(t, ask(s, "100").Body.String(), "overloaded", "what ends in time is served")
+	require.Contains(t, sendCall(s, "100").Body.String(), "overloaded", "a request that ends in time is accepted")
 }
