--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,34 +14,34 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// turn is a streamed request on its way.
+// turn is a streamed request in progress.
 type turn struct {
 	*request
 	program   string
 	maxTokens int64
-	// previous is the turn whose history goes before the caller's input.
+	// previous is the turn whose history precedes the caller's input.
 	previous    string
 	input       []byte
 	reservation *quorum.Reservation
-	// cell keeps the program's turns and charges; everywhere is set once the charge may be
-	// in the cells of other regions as well.
+	// cell stores the program's turns and charges; reservedElsewhere is set once the charge may also
+	// be in the cells of other regions.
 	cell              *quorum.Client
 	reservedElsewhere bool
 	// parts are the parts of the prompt.
 	parts []backend.Part
-	// ancestors are the turns before this one, where another cell keeps them.
+	// ancestors are the turns before this one, if another cell stores them.
 	ancestors []ledger.Turn
 	durable   bool
-	// output is what later prompts hold of the answer.
+	// output is the part of the answer that later prompts contain.
 	output    []byte
 	events    int
 	lastEvent string
-	// responseStarted is set once bytes went to the caller.
+	// responseStarted is set once bytes were sent to the caller.
 	responseStarted bool
 	ran             bool
 }
 
-// serveStream serves a request that is answered by events.
+// serveStream serves a request that is answered by a stream of events.
 func (s *Server) serveStream(ctx context.Context, w http.ResponseWriter, r *request) {
 	t := &turn{request: r, input: r.body, lastEvent: r.header.Get(s.dialect.LastEvent)}
 	if r.header.Get(s.dialect.TokenBudget) != "" {
@@ -52,14 +52,14 @@
 	if r.route.Retained {
 		t.previous = r.header.Get(s.dialect.PreviousTurn)
 	}
-	refused := s.reserve(ctx, t)
+	reserveFailure := s.reserve(ctx, t)
 	if t.reservation != nil {
-		// Also of a turn that is refused: what is not ended is sent again to all replicas with
-		// each connection and each set, and each refusal would add to that for good.
+		// This includes refused turns: pending reservations are sent again to all replicas with
+		// each connection and each replica set, and each refusal would add one permanently.
 		defer t.reservation.End()
 	}
-	if refused != nil {
-		s.refuse(w, r, refused)
+	if reserveFailure != nil {
+		s.refuse(w, r, reserveFailure)
 		return
 	}
 	if bound := t.held.grow(bodyCopies * (len(t.body) - len(t.input))); bound != memorybudget.Within {
@@ -68,8 +68,8 @@
 		return
 	}
 	t.firstOfProgram = t.previous == "" && t.reservation != nil && t.reservation.Others == 0
-	// A turn that is refused for other reasons must not use up the tenant's limit.
-	if failure := s.withinLimit(ctx, r); failure != nil {
+	// Checked last: a turn that is refused for other reasons must not consume the tenant's limit.
+	if failure := s.checkTenantLimit(ctx, r); failure != nil {
 		s.settle(t)
 		s.refuse(w, r, failure)
 		return
@@ -84,12 +84,12 @@
 		panic(http.ErrAbortHandler) // the connection ends without the stream's end
 	default:
 		s.settle(t)
-		s.refuse(w, r, s.failed(ctx, r, failure, t.ran))
+		s.refuse(w, r, s.refusalFor(ctx, r, failure, t.ran))
 	}
 }
 
-// continuesOtherTenant reports whether the previous turn is another tenant's, as a replica of the
-// program's cell or of the cell that holds the turn says.
+// continuesOtherTenant reports whether the previous turn belongs to another tenant, according to a
+// replica of the program's cell or of the cell that stores the turn.
 func (t *turn) continuesOtherTenant() bool {
 	if t.reservation.Foreign {
 		return true
@@ -97,7 +97,7 @@
 	return len(t.ancestors) > 0 && t.ancestors[0].Tenant != t.tenantName()
 }
 
-// history returns the text before the turn's own input.
+// history returns the text that precedes the turn's own input.
 func (t *turn) history() []byte {
 	if t.reservation.Found {
 		return t.reservation.History
@@ -110,6 +110,8 @@
 	return text
 }
 
+// finalCharge returns the tokens that were generated, and the prompt prefix that the instance has
+// cached since.
 func (t *turn) finalCharge() ledger.Charge {
 	generated := t.events * t.service.TokensPerEvent
 	charge := ledger.Charge{Turn: t.id, Tokens: int64(generated), Final: true}
@@ -120,8 +122,8 @@
 	return charge
 }
 
-// cached returns what instances hold of the turn's prompt as reported by the program's
-// earlier turns.
+// cached returns which parts of the turn's prompt instances have cached, as reported by the
+// program's earlier turns.
 func (t *turn) cached() []backend.Cached {
 	if t.reservation == nil {
 		return nil
@@ -137,8 +139,8 @@
 	return cached
 }
 
-// relay sends the turn to an instance and passes its events on, going on at
-// another send where the route allows that.
+// relay sends the turn to an instance and forwards its events. If the route allows that, it
+// resumes a broken stream by another send.
 func (s *Server) relay(ctx context.Context, w http.ResponseWriter, t *turn) *backend.Failure {
 	demand := backend.Demand{
 		Service: t.service.Name, Generates: t.service.Generates, Parts: t.parts, Cached: t.cached(),
@@ -160,15 +162,15 @@
 			}
 		}
 		if failure.Verdict == verdict.NotRun {
-			return failure // every instance was asked until the time for that was over
+			return failure // no instance accepted the turn within its time
 		}
 		t.ran, t.lostAnswer, t.firstOfProgram = true, true, false
 		runs++
 		if failure.Verdict == verdict.Ran || !t.route.Resumable || runs > maxResumes || ctx.Err() != nil {
 			return failure
 		}
-		// The same instance goes on if it can: another one would be one more that runs the
-		// request, and the route says how many may.
+		// Prefer the same instance: another one would also run the request, and the route
+		// bounds how many instances may.
 		instances.add(t.outcome.instance)
 		demand.Preferred, demand.Only = t.outcome.instance, instances.requiredInstance(t.events == eventsBefore)
 		s.log.Info().Str("event", "stream_resumed").Str("id", t.id).Str("instance", t.outcome.instance).
@@ -176,10 +178,10 @@
 	}
 }
 
-// maxResumes is how often one answer is taken up again.
+// maxResumes is how often a stream may be resumed.
 const maxResumes = 3
 
-// relayStream hands an instance's answer to the caller.
+// relayStream forwards an instance's answer to the caller and makes the turn durable.
 func (s *Server) relayStream(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
 	response := sent.answer.Response
 	if response.StatusCode != http.StatusOK || response.Header.Get(s.dialect.Signature) == "" {
@@ -207,11 +209,11 @@
 		return failure
 	}
 	s.extendWriteDeadline(w, t.request)
-	t.startResponse(w, sent) // a stream resumed at its end has no events
+	t.startResponse(w, sent) // a stream resumed at its end has no events left
 	return nil
 }
 
-// startResponse passes on the head of the first instance's answer.
+// startResponse forwards the header of the first instance's answer.
 func (t *turn) startResponse(w http.ResponseWriter, sent *attempt) {
 	if t.responseStarted {
 		return
@@ -222,23 +224,23 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// relayNonStream hands on an answer that is no stream.
+// relayNonStream forwards an answer that is not a stream of events.
 func (s *Server) relayNonStream(w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
 	if t.responseStarted {
 		sent.answer.Discard()
 		sent.release()
 		s.directory.End(time.Now(), sent.choice, backend.Answered)
-		return &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the stream was not taken up again"}
+		return &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the stream could not be resumed"}
 	}
 	t.ran = true
-	failure := s.passAnswer(w, t.request, sent)
+	failure := s.relayAnswer(w, t.request, sent)
 	if failure == nil {
 		s.settle(t)
 	}
 	return failure
 }
 
-// relayEvents passes each event on as it comes.
+// relayEvents forwards each event as it is received.
 func (s *Server) relayEvents(ctx context.Context, w http.ResponseWriter, t *turn, sent *attempt) *backend.Failure {
 	events := newEventReader(sent.answer.Buffered())
 	flusher := http.NewResponseController(w)
@@ -248,7 +250,7 @@
 			return nil
 		}
 		if err != nil {
-			return &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the stream broke off: " + err.Error()}
+			return &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the stream was interrupted: " + err.Error()}
 		}
 		t.ran = true
 		sent.recordEvent()
@@ -261,16 +263,16 @@
 		t.startResponse(w, sent)
 		s.extendWriteDeadline(w, t.request)
 		if _, err := w.Write(event.raw); err != nil {
-			return &backend.Failure{Verdict: verdict.Ran, Reason: s.writeFailure(err)}
+			return &backend.Failure{Verdict: verdict.Ran, Reason: s.writeErrorReason(err)}
 		}
 		if err := flusher.Flush(); err != nil {
-			return &backend.Failure{Verdict: verdict.Ran, Reason: s.writeFailure(err)}
+			return &backend.Failure{Verdict: verdict.Ran, Reason: s.writeErrorReason(err)}
 		}
 	}
 }
 
-// recordEvent notes an event that goes to the caller. What later prompts hold of it is kept; there may
-// be no memory for that.
+// recordEvent records an event that is about to be sent to the caller. It stores what later prompts
+// contain of the event, and fails if there is no memory for that.
 func (s *Server) recordEvent(t *turn, event event) *backend.Failure {
 	if t.route.Retained {
 		if bound := t.held.grow(len(event.data) + 1); bound != memorybudget.Within {
@@ -289,7 +291,7 @@
 	return nil
 }
 
-// commitTurn makes the finished turn durable before the stream's end is passed on.
+// commitTurn makes the finished turn durable before the end of the stream is forwarded.
 func (s *Server) commitTurn(ctx context.Context, t *turn) *backend.Failure {
 	t.outcome.status, t.outcome.result = http.StatusOK, "answered"
 	if !t.route.Retained {
@@ -318,6 +320,7 @@
 	return nil
 }
 
+// millisecondsSince returns the time since began in milliseconds.
 func millisecondsSince(began time.Time) float64 {
 	return float64(time.Since(began).Microseconds()) / 1000
 }
--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -16,7 +16,7 @@
 	"swiftbank.dev/swiftbank/internal/tenant"
 )
 
-// withTenants puts a configuration with tenants and a public route in force.
+// withTenants applies a configuration with tenants and a public route.
 func withTenants(s *Server, version uint64, tenants ...tenant.Tenant) {
 	call := func(name, prefix string, public bool) *route.Route {
 		return &route.Route{
@@ -30,10 +30,11 @@
 	s.ConfigurationChanged(table)
 }
 
-func fresh(s *Server) { s.FeedStatusChanged(feed.Status{Confirmed: true}) }
+// confirmConfiguration marks the gateway's configuration as current.
+func confirmConfiguration(s *Server) { s.FeedStatusChanged(feed.Status{Confirmed: true}) }
 
-// askAs sends a request with an Authorization header, "" for none.
-func askAs(s *Server, path, authorization string) int {
+// sendCallWithKey sends a request with the given Authorization header, or none for "".
+func sendCallWithKey(s *Server, path, authorization string) int {
 	request := httptest.NewRequest(http.MethodPost, "http://apps.test"+path, nil)
 	request.Header.Set(deadlineHeader, "40")
 	if authorization != "" {
@@ -44,38 +45,38 @@
 	return recorder.Code
 }
 
-// Served requests end with 503 here, for there is no instance.
-const passedOn = http.StatusServiceUnavailable
+// statusNoInstance is the status of an authenticated request, because there is no instance.
+const statusNoInstance = http.StatusServiceUnavailable
 
-func TestOnlyAKeyOfTheConfigurationIsServed(t *testing.T) {
-	s := gatewayOf(t)
+func TestAuthenticatesByConfiguredKeys(t *testing.T) {
+	s := newTestGateway(t)
 	s.dialect.Authorization = "Authorization"
-	fresh(s)
+	confirmConfiguration(s)
 	withTenants(s, 2, tenant.Tenant{Name: "a", Keys: []tenant.KeyDigest{tenant.DigestOf("key-a")}})
-	require.Equal(t, passedOn, askAs(s, "/call/1", "Bearer key-a"))
-	require.Equal(t, http.StatusUnauthorized, askAs(s, "/call/1", "Bearer key-b"))
-	require.Equal(t, http.StatusUnauthorized, askAs(s, "/call/1", ""))
-	require.Equal(t, passedOn, askAs(s, "/open/1", ""), "a public route needs no key")
-	require.Equal(t, passedOn, askAs(s, "/open/1", "Bearer key-b"))
+	require.Equal(t, statusNoInstance, sendCallWithKey(s, "/call/1", "Bearer key-a"))
+	require.Equal(t, http.StatusUnauthorized, sendCallWithKey(s, "/call/1", "Bearer key-b"))
+	require.Equal(t, http.StatusUnauthorized, sendCallWithKey(s, "/call/1", ""))
+	require.Equal(t, statusNoInstance, sendCallWithKey(s, "/open/1", ""), "a public route needs no key")
+	require.Equal(t, statusNoInstance, sendCallWithKey(s, "/open/1", "Bearer key-b"))
 
 	withTenants(s, 3, tenant.Tenant{Name: "a"}, tenant.Tenant{Name: "b", Keys: []tenant.KeyDigest{tenant.DigestOf("key-b")}})
-	require.Equal(t, http.StatusUnauthorized, askAs(s, "/call/1", "Bearer key-a"), "the key was taken away")
-	require.Equal(t, passedOn, askAs(s, "/call/1", "Bearer key-b"))
+	require.Equal(t, http.StatusUnauthorized, sendCallWithKey(s, "/call/1", "Bearer key-a"), "the key was removed")
+	require.Equal(t, statusNoInstance, sendCallWithKey(s, "/call/1", "Bearer key-b"))
 }
 
-// A key that was added a moment ago must not be refused for good by a gateway whose
-// configuration may be old.
-func TestAnUnknownKeyIsRefusedForGoodOnlyByFreshKnowledge(t *testing.T) {
-	s := gatewayOf(t)
+// A key that was just added must not be refused permanently by a gateway whose configuration may
+// be outdated.
+func TestUnknownKeyIsRetryableWhileConfigurationIsStale(t *testing.T) {
+	s := newTestGateway(t)
 	s.dialect.Authorization = "Authorization"
 	withTenants(s, 2, tenant.Tenant{Name: "a"})
 	s.FeedStatusChanged(feed.Status{Confirmed: false})
-	require.Equal(t, http.StatusServiceUnavailable, askAs(s, "/call/1", "Bearer new"))
-	fresh(s)
-	require.Equal(t, http.StatusUnauthorized, askAs(s, "/call/1", "Bearer new"))
+	require.Equal(t, http.StatusServiceUnavailable, sendCallWithKey(s, "/call/1", "Bearer new"))
+	confirmConfiguration(s)
+	require.Equal(t, http.StatusUnauthorized, sendCallWithKey(s, "/call/1", "Bearer new"))
 }
 
-func TestATurnOfAnotherCellBelongsToItsTenantToo(t *testing.T) {
+func TestContinuesOtherTenant(t *testing.T) {
 	own := &turn{
 		request: &request{tenant: &tenant.Tenant{Name: "riga"}}, reservation: &quorum.Reservation{},
 		ancestors: []ledger.Turn{{ID: "b", Tenant: "riga"}, {ID: "a", Tenant: "riga"}},
@@ -86,8 +87,8 @@
 	require.True(t, (&turn{request: &request{}, reservation: &quorum.Reservation{Foreign: true}}).continuesOtherTenant())
 }
 
-func TestWhatOrdersEnginesAboutNeverPassesFromACaller(t *testing.T) {
-	s := gatewayOf(t)
+func TestEngineControlHeadersAreNotForwarded(t *testing.T) {
+	s := newTestGateway(t)
 	s.dialect = Dialect{
 		RequestID: "X-Id", Deadline: "X-Deadline", ExpectedInstance: "X-Expected", Priority: "X-Priority",
 		Authorization: "Authorization", Tenant: "X-Tenant", EngineControlHeaders: []string{"X-Reserve", "X-Keep"},
@@ -104,9 +105,9 @@
 	require.Equal(t, http.Header{"X-Id": {"1"}, "X-Tenant": {"a"}, "X-Other": {"stays"}, "X-Expected": {"i"}, "X-Deadline": passed["X-Deadline"]}, passed)
 
 	r.tenant = nil
-	require.NotContains(t, s.instanceCall(r, backend.Instance{ID: "i"}).Header, "X-Tenant", "a public request is no tenant's")
+	require.NotContains(t, s.instanceCall(r, backend.Instance{ID: "i"}).Header, "X-Tenant", "a public request has no tenant")
 	r.table = route.NewTable(3, nil, nil, route.Limits{})
 	passed = s.instanceCall(r, backend.Instance{ID: "i"}).Header
-	require.Contains(t, passed, "Authorization", "without tenants the header is the callers' and instances' own matter")
+	require.Contains(t, passed, "Authorization", "without tenants the header belongs to callers and instances")
 	require.NotContains(t, passed, "X-Reserve")
 }
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/updates.go
@@ -10,7 +10,7 @@
 	"swiftbank.dev/swiftbank/internal/route"
 )
 
-// ConfigurationChanged puts a configuration in force unless a newer one is.
+// ConfigurationChanged applies a configuration unless the current one is as new or newer.
 func (s *Server) ConfigurationChanged(table *route.Table) {
 	current := s.table.Load()
 	if current != nil && current.Version >= table.Version {
@@ -24,8 +24,8 @@
 		Dur("age", s.stateAge()).Msg("")
 }
 
-// limitIdleConnections shares each service's limit of connections among the gateways: those that
-// are idle here may take half of this one's part.
+// limitIdleConnections divides each service's connection limit among the gateways. Half of
+// this gateway's share may be idle.
 func (s *Server) limitIdleConnections() {
 	table := s.table.Load()
 	if table == nil {
@@ -39,11 +39,11 @@
 	}
 }
 
-// maxLoggedInstances bounds the instances that one log line names.
+// maxLoggedInstances bounds the instances named in one log line.
 const maxLoggedInstances = 32
 
-// InstancesChanged applies changes of the list of instances. An incomplete list may lack some
-// that are there.
+// InstancesChanged applies changes of the list of instances. An incomplete list may lack
+// instances that exist.
 func (s *Server) InstancesChanged(changes backend.Changes, incomplete bool) {
 	removed := s.directory.Change(time.Now(), changes, incomplete)
 	for _, id := range removed {
@@ -63,8 +63,8 @@
 		Bool("incomplete", incomplete).Int("ended", len(removed)).Strs("gone", removed[:min(maxLoggedInstances, len(removed))]).Dur("age", s.stateAge()).Msg("")
 }
 
-// MembersChanged replaces the product's own objects: the cells of replicas and the other
-// gateways.
+// MembersChanged applies the registry's objects on this system itself: the cells of replicas and
+// the other gateways.
 func (s *Server) MembersChanged(objects []registry.Object, gossip *Gossip, relays *quorum.Relays) {
 	membership := s.members.Read(objects)
 	s.replicas.SetMembership(membership)
@@ -77,12 +77,12 @@
 	s.limitIdleConnections()
 }
 
-// instanceListAge returns how long ago the list of instances last changed.
+// instanceListAge returns the time since the list of instances last changed.
 func (s *Server) instanceListAge() time.Duration {
 	return time.Since(s.started) - time.Duration(s.instancesChangedAt.Load())
 }
 
-// feedStatus is what the gateway was told of the worth of what it knows.
+// feedStatus is the last reported freshness of the configuration and the instances.
 type feedStatus struct {
 	status    feed.Status
 	updatedAt time.Time
@@ -90,7 +90,7 @@
 	staleSince time.Time
 }
 
-// FeedStatusChanged says how fresh configuration and instances are from now on.
+// FeedStatusChanged records how fresh the configuration and the instances are.
 func (s *Server) FeedStatusChanged(status feed.Status) {
 	now := time.Now()
 	next := &feedStatus{status: status, updatedAt: now}
@@ -105,35 +105,36 @@
 		Bool("lost", status.Lost).Dur("age", status.Age).Msg("")
 }
 
-// confirmationTimeout is how long a gateway that starts waits for the store's own word. Then it serves by
-// the copy that a replica's disk kept, for the store may be away for long.
+// confirmationTimeout is how long a starting gateway waits for the store to confirm its state.
+// After that it serves by the copy on a replica's disk, because the store may be unavailable for
+// a long time.
 const confirmationTimeout = 500 * time.Millisecond
 
-// awaitsConfirmation reports whether what is known is a copy of which the store may tell in a moment
-// that it is old. By an old configuration callers' keys may go on to instances, and limits not hold.
+// awaitsConfirmation reports whether the state is a copy that the store may soon report to be
+// outdated. By an outdated configuration callers' keys may be forwarded to instances, and limits
+// may not be enforced.
 func (s *Server) awaitsConfirmation() bool {
-	known := s.feedStatus.Load()
-	if known == nil || known.status.Confirmed || known.status.Lost {
+	current := s.feedStatus.Load()
+	if current == nil || current.status.Confirmed || current.status.Lost {
 		return false
 	}
 	return time.Since(s.started)-time.Duration(s.instancesKnownAt.Load()) < confirmationTimeout
 }
 
-// stateAge returns how old the gateway's knowledge was when it was last told, for the
-// logs.
+// stateAge returns the age of the gateway's state at its last status report, for the logs.
 func (s *Server) stateAge() time.Duration {
-	known := s.feedStatus.Load()
-	if known == nil {
+	current := s.feedStatus.Load()
+	if current == nil {
 		return 0
 	}
-	return known.status.Age
+	return current.status.Age
 }
 
 // configurationStale reports whether the configuration may be out of date.
 func (s *Server) configurationStale() bool {
-	known := s.feedStatus.Load()
-	if known == nil || !known.status.Confirmed {
+	current := s.feedStatus.Load()
+	if current == nil || !current.status.Confirmed {
 		return true
 	}
-	return !known.staleSince.IsZero() && time.Since(known.staleSince) > maxConfigurationStaleness
+	return !current.staleSince.IsZero() && time.Since(current.staleSince) > maxConfigurationStaleness
 }
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -7,7 +7,7 @@
 	"swiftbank.dev/swiftbank/internal/wiretest"
 )
 
-// Gateways of two versions exchange these reports.
+// Gateways of different versions exchange these reports.
 func TestFieldsOfLoadReportsKeepTheirNames(t *testing.T) {
 	wiretest.CheckFields(t, "testdata/fields.txt", map[string]reflect.Type{
 		"load report": reflect.TypeFor[loadReport](),
