--- a/internal/gateway/tenancy_test.go
+++ b/internal/gateway/tenancy_test.go
@@ -45,7 +45,7 @@
 	return recorder.Code
 }
 
-// statusNoInstance is the status of an authenticated request, because there is no instance.
+// statusNoInstance is the status of an authenticated request: 503, because there is no instance.
 const statusNoInstance = http.StatusServiceUnavailable
 
 func TestAuthenticatesByConfiguredKeys(t *testing.T) {
