--- a/internal/gateway/heldmemory.go
+++ b/internal/gateway/heldmemory.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// requestBytes is what a request holds besides its body and its answer: its goroutines'
-	// stacks, and the buffers of its two connections.
-	requestBytes = 32 << 10
-	// bodyCopies is how often a request's body is held: as it came, and as it is sent.
+	// requestOverheadBytes is the memory of a request besides its body and its answer: its
+	// goroutines' stacks, and the buffers of its two connections.
+	requestOverheadBytes = 32 << 10
+	// bodyCopies is the number of copies of a request's body in memory: as received and as sent.
 	bodyCopies = 2
-	// unreadLimit is how long a caller may leave what is written to it unread, and how long it may
-	// take for a body, before its connection is closed: longer than networks stall, and than
-	// instances wait for a reader.
-	unreadLimit = 30 * time.Second
+	// defaultUnreadTimeout is how long a caller may leave written data unread, and how long it may
+	// take to send a body, before its connection is closed. It is longer than networks stall, and
+	// longer than instances wait for a reader.
+	defaultUnreadTimeout = 30 * time.Second
 )
 
-// heldMemory counts the bytes that the gateway holds for its callers. It is safe for concurrent
-// use.
+// heldMemory accounts for the bytes that the gateway holds for its callers. It is safe for
+// concurrent use.
 type heldMemory struct {
 	mu     sync.Mutex
 	budget *memorybudget.Budget
 }
 
-// newHeldMemory returns the count of a gateway that may hold so many bytes; nil, which bounds
-// nothing, for 0.
+// newHeldMemory returns the account of a gateway that may hold the given number of bytes, or
+// nil, which bounds nothing, for 0.
 func newHeldMemory(bytes int64) *heldMemory {
 	if bytes <= 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return &heldMemory{budget: memorybudget.New(memorybudget.LimitsOf(bytes))}
 }
 
-// held returns how many bytes are held, for the metrics.
+// held returns the number of bytes held, for the metrics.
 func (m *heldMemory) held() float64 {
 	if m == nil {
 		return 0
@@ -51,13 +51,13 @@
 	return float64(m.budget.Held())
 }
 
-// holding is what one request holds; nil where nothing is bounded.
+// holding is the memory of one request; nil where memory is not bounded.
 type holding struct {
 	memory *heldMemory
 	held   *memorybudget.Reservation
 }
 
-// grow counts further bytes, unless they do not fit.
+// grow adds bytes to the holding unless that exceeds a bound, which it then returns.
 func (h *holding) grow(bytes int) memorybudget.Bound {
 	if h == nil {
 		return memorybudget.WithinLimits
@@ -67,6 +67,7 @@
 	return h.held.Grow(int64(bytes))
 }
 
+// release returns the holding's bytes to the budget.
 func (h *holding) release() {
 	if h == nil {
 		return
@@ -76,21 +77,21 @@
 	h.held.Release()
 }
 
-// memoryError says that the bytes of a request do not fit.
+// memoryError reports that the bytes of a request exceed a bound on memory.
 type memoryError struct{ bound memorybudget.Bound }
 
 func (e *memoryError) Error() string {
 	return "the memory for callers is used up, bound: " + e.bound.String()
 }
 
-// growingReader counts each byte that is read from a source copies times.
-type growingReader struct {
+// accountingReader accounts for each byte read from its source copies times.
+type accountingReader struct {
 	source io.Reader
 	held   *holding
 	copies int
 }
 
-func (r growingReader) Read(buffer []byte) (int, error) {
+func (r accountingReader) Read(buffer []byte) (int, error) {
 	read, err := r.source.Read(buffer)
 	if bound := r.held.grow(read * r.copies); bound != memorybudget.WithinLimits {
 		return 0, &memoryError{bound: bound}
@@ -98,76 +99,79 @@
 	return read, err
 }
 
-// boundsMemory reports whether what is held for the request is bounded: where load control
-// decides about any service that it may go to.
+// boundsMemory reports whether the request's memory is bounded: where load control applies to
+// any service that the request may go to.
 func (s *Server) boundsMemory(r *request) bool {
 	controlled := func(target route.Target) bool { return r.table.StreamAttempts(target.Service) > 1 }
 	return s.held != nil && (s.options.LoadControl || slices.ContainsFunc(r.route.Targets, controlled))
 }
 
-// holdRequest counts a request that begins with its header, or refuses it.
-func (s *Server) holdRequest(r *request, headerBytes int) *refusal {
+// holdRequestMemory accounts for the request's overhead and header, or refuses the request.
+func (s *Server) holdRequestMemory(r *request, headerBytes int) *refusal {
 	if !s.boundsMemory(r) {
 		return nil
 	}
 	s.held.mu.Lock()
-	begun, bound := s.held.budget.Reserve(r.tenantName(), requestBytes+int64(headerBytes))
+	held, bound := s.held.budget.Reserve(r.tenantName(), requestOverheadBytes+int64(headerBytes))
 	s.held.mu.Unlock()
 	if bound != memorybudget.WithinLimits {
-		return s.refuseHeld(r, bound)
+		return s.refuseForMemory(r, bound)
 	}
-	r.held = &holding{memory: s.held, held: begun}
+	r.held = &holding{memory: s.held, held: held}
 	return nil
 }
 
 // readBody reads a request's body of up to limit bytes, as far as there is memory for it. After
-// a failure the limit of time stays: the server reads what is left of the body.
+// a failure the read deadline stays in place: the server still reads the rest of the body.
 func (s *Server) readBody(w http.ResponseWriter, r *request, incoming *http.Request, limit int64) ([]byte, *refusal) {
-	s.limitReading(w, r, time.Now().Add(s.unreadLimit))
+	s.setReadDeadline(w, r, time.Now().Add(s.unreadTimeout))
 	source := http.MaxBytesReader(w, incoming.Body, limit)
-	body, err := io.ReadAll(growingReader{source: source, held: r.held, copies: bodyCopies})
-	var large *http.MaxBytesError
-	var full *memoryError
+	body, err := io.ReadAll(accountingReader{source: source, held: r.held, copies: bodyCopies})
+	var tooLarge *http.MaxBytesError
+	var outOfMemory *memoryError
 	switch {
 	case err == nil:
-		s.limitReading(w, r, time.Time{})
+		s.setReadDeadline(w, r, time.Time{})
 		return body, nil
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, &refusal{status: http.StatusRequestEntityTooLarge, code: verdict.CodeTooLarge, reason: "the body is larger than allowed"}
-	case errors.As(err, &full):
-		return nil, s.refuseHeld(r, full.bound)
+	case errors.As(err, &outOfMemory):
+		return nil, s.refuseForMemory(r, outOfMemory.bound)
 	default:
-		return nil, &refusal{status: http.StatusBadRequest, code: verdict.CodeBadRequest, reason: "the body ended early"}
+		return nil, &refusal{status: http.StatusBadRequest, code: verdict.CodeBadRequest, reason: "the body is incomplete"}
 	}
 }
 
-// refuseHeld refuses a request that has not run for lack of memory: another gateway may have
-// some.
-func (s *Server) refuseHeld(r *request, bound memorybudget.Bound) *refusal {
-	s.logHeld(r, bound, false)
-	return refuseFor(verdict.CodeOverloaded, elsewhereRetry, "the gateway has no memory left for the request")
+// refuseForMemory refuses a request that has not run because memory is exhausted. Another gateway
+// may have memory left.
+func (s *Server) refuseForMemory(r *request, bound memorybudget.Bound) *refusal {
+	s.logMemoryBound(r, bound, false)
+	return refuseFor(verdict.CodeOverloaded, otherGatewayRetry, "the gateway has no memory left for the request")
 }
 
-// logHeld writes which bound of memory ended a request; ran says whether it may have run.
-func (s *Server) logHeld(r *request, bound memorybudget.Bound, ran bool) {
+// logMemoryBound logs and counts which memory bound ended a request; ran reports whether the
+// request may have run.
+func (s *Server) logMemoryBound(r *request, bound memorybudget.Bound, ran bool) {
 	s.metrics.memoryBound.WithLabelValues(bound.String()).Inc()
 	s.log.Warn().Str("event", "memory_bound").Str("id", r.id).Str("tenant", r.tenantName()).Str("bound", bound.String()).
 		Bool("ran", ran).Float64("held_bytes", s.held.held()).Int64("in_flight", s.inFlight.Load()).Msg("")
 }
 
-// awaitReader gives a caller time to read what is written next. Without a limit a caller that
-// reads nothing would hold its request, and the connection to its instance, for good.
-func (s *Server) awaitReader(w http.ResponseWriter, r *request) {
-	s.logUnlimited(r, http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.unreadLimit)))
+// extendWriteDeadline gives the caller unreadTimeout to read what is written next. Without a
+// deadline a caller that reads nothing would hold its request, and the connection to its
+// instance, forever.
+func (s *Server) extendWriteDeadline(w http.ResponseWriter, r *request) {
+	s.logDeadlineError(r, http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.unreadTimeout)))
 }
 
-// limitReading bounds how long a caller may take for a body; zero lifts the limit.
-func (s *Server) limitReading(w http.ResponseWriter, r *request, until time.Time) {
-	s.logUnlimited(r, http.NewResponseController(w).SetReadDeadline(until))
+// setReadDeadline bounds how long a caller may take to send a body; the zero time removes the
+// deadline.
+func (s *Server) setReadDeadline(w http.ResponseWriter, r *request, deadline time.Time) {
+	s.logDeadlineError(r, http.NewResponseController(w).SetReadDeadline(deadline))
 }
 
-// logUnlimited writes that a caller's connection took no limit of time.
-func (s *Server) logUnlimited(r *request, err error) {
+// logDeadlineError logs that a deadline could not be set on a caller's connection.
+func (s *Server) logDeadlineError(r *request, err error) {
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		s.log.Warn().Str("event", "caller_unlimited").Str("id", r.id).Err(err).Msg("")
 	}
--- a/internal/gateway/learnedcache.go
+++ b/internal/gateway/learnedcache.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// recallInterval is the pause between two questions for what was learned before this gateway
-	// started; recallLimit is for how long it asks.
-	recallInterval = 100 * time.Millisecond
-	recallLimit    = 3 * time.Second
-	// cacheInterval is how often a gateway that speaks for its zone tells a replica what the zone's
-	// gateways learned.
+	// restoreInterval is the pause between two requests for the state learned before this gateway
+	// started; restoreTimeout is how long it keeps asking.
+	restoreInterval = 100 * time.Millisecond
+	restoreTimeout  = 3 * time.Second
+	// cacheInterval is how often a gateway that reports for its zone sends a replica what the
+	// zone's gateways learned.
 	cacheInterval = 2 * time.Second
 )
 
-// learnedSection is a section whose figures gateways go on with after a start.
-type learnedSection interface {
+// persistentSection is a section whose figures survive a restart of all gateways.
+type persistentSection interface {
 	reportSection
-	// lasting returns what the own zone's gateways learned, encoded, nil if that is nothing.
-	lasting(now time.Time) []byte
-	// recall takes what lasting returned at some gateway so long ago.
-	recall(now time.Time, age time.Duration, figures []byte)
+	// snapshot returns what the own zone's gateways learned, encoded, or nil if that is nothing.
+	snapshot(now time.Time) []byte
+	// restore applies a snapshot of the given age, taken by any gateway of the zone.
+	restore(now time.Time, age time.Duration, figures []byte)
 }
 
-// learnedCaches are the replicas that keep what gateways learned for those that start later.
+// learnedCaches are the replicas that store what gateways learned for those that start later.
 type learnedCaches struct {
 	log *log.Logger
 
 	mu        sync.Mutex
 	addresses rotation
-	// knownAt is when the first replica was known.
-	knownAt time.Time
-	// asking is set until an answer came, or was waited for in vain.
-	asking bool
+	// firstReplicaAt is when the first replica became known.
+	firstReplicaAt time.Time
+	// restoring is set until an answer was received or restoreTimeout has passed.
+	restoring bool
 }
 
-// EnableLearnedCache makes replicas keep what gateways learn. It must be called before Run.
+// EnableLearnedCache makes replicas store what gateways learn. It must be called before Run.
 func (g *Gossip) EnableLearnedCache(log *log.Logger) {
-	g.caches = &learnedCaches{log: log, asking: true}
+	g.caches = &learnedCaches{log: log, restoring: true}
 }
 
-// SetReplicas tells which replicas there are. The nearest ones keep what is learned here.
+// SetReplicas replaces the known replicas. The nearest ones store what is learned here.
 func (g *Gossip) SetReplicas(nodes map[string]replicaset.Node) {
 	if g.caches == nil {
 		return
@@ -72,78 +72,81 @@
 	}
 }
 
-// runCaches asks what was learned before, then tells what is learned, until the context ends.
+// runCaches requests what was learned before, then sends what is learned, until the context ends.
 func (g *Gossip) runCaches(ctx context.Context, socket net.PacketConn) {
-	for wait.For(ctx, g.caches.pause()) {
+	for wait.For(ctx, g.caches.interval()) {
 		now := time.Now()
 		switch {
-		case !g.caches.areKnown(now): // and nobody is asked or told
-		case g.caches.asks(now):
+		case !g.caches.hasReplicas(now): // wait for a replica
+		case g.caches.shouldRestore(now):
 			g.sendLearned(socket, learned.Message{Zone: g.zone})
-		case g.speaksForZone():
-			if sections := g.lastingSections(now); len(sections) > 0 {
+		case g.isZoneReporter():
+			if sections := g.snapshotSections(now); len(sections) > 0 {
 				g.sendLearned(socket, learned.Message{Zone: g.zone, Sections: sections})
 			}
 		}
 	}
 }
 
-func (c *learnedCaches) pause() time.Duration {
+// interval returns the pause before the next message.
+func (c *learnedCaches) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asking {
-		return recallInterval
+	if c.restoring {
+		return restoreInterval
 	}
 	return cacheInterval
 }
 
-// areKnown reports whether there are replicas.
-func (c *learnedCaches) areKnown(now time.Time) bool {
+// hasReplicas reports whether any replicas are known.
+func (c *learnedCaches) hasReplicas(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.addresses.addresses) == 0 {
 		return false
 	}
-	if c.knownAt.IsZero() {
-		c.knownAt = now
+	if c.firstReplicaAt.IsZero() {
+		c.firstReplicaAt = now
 	}
 	return true
 }
 
-// asks reports whether to ask what was learned before.
-func (c *learnedCaches) asks(now time.Time) bool {
+// shouldRestore reports whether to request what was learned before. It gives up, and logs that,
+// once restoreTimeout has passed.
+func (c *learnedCaches) shouldRestore(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.asking && now.Sub(c.knownAt) > recallLimit {
-		c.asking = false
+	if c.restoring && now.Sub(c.firstReplicaAt) > restoreTimeout {
+		c.restoring = false
 		c.log.Info().Str("event", "learned_recalled").Bool("found", false).Msg("")
 	}
-	return c.asking
+	return c.restoring
 }
 
-// speaksForZone reports whether this gateway tells replicas what its zone learned.
-func (g *Gossip) speaksForZone() bool {
+// isZoneReporter reports whether this gateway sends replicas what its zone learned.
+func (g *Gossip) isZoneReporter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.speaks
+	return g.reportsZone
 }
 
-func (g *Gossip) lastingSections(now time.Time) map[string][]byte {
-	lasting := map[string][]byte{}
+// snapshotSections returns the snapshots of the persistent sections by name.
+func (g *Gossip) snapshotSections(now time.Time) map[string][]byte {
+	snapshots := map[string][]byte{}
 	for _, section := range g.sections {
-		if kept, lasts := section.(learnedSection); lasts {
-			if figures := kept.lasting(now); len(figures) > 0 {
-				lasting[section.name()] = figures
+		if persistent, ok := section.(persistentSection); ok {
+			if figures := persistent.snapshot(now); len(figures) > 0 {
+				snapshots[section.name()] = figures
 			}
 		}
 	}
-	return lasting
+	return snapshots
 }
 
 // sendLearned sends a message to the next cache.
 func (g *Gossip) sendLearned(socket net.PacketConn, message learned.Message) {
 	g.caches.mu.Lock()
-	next := g.caches.addresses.take(1)
+	next := g.caches.addresses.nextAddresses(1)
 	g.caches.mu.Unlock()
 	encoded, err := learned.Encode(message)
 	for _, cache := range next {
@@ -158,14 +161,14 @@
 	}
 }
 
-// recall hands what a cache answered to the sections, once.
-func (g *Gossip) recall(now time.Time, message learned.Message) {
+// restoreLearned applies the first answer of a cache to the sections; later ones are ignored.
+func (g *Gossip) restoreLearned(now time.Time, message learned.Message) {
 	if g.caches == nil || message.Zone != g.zone || len(message.Sections) == 0 {
 		return
 	}
 	g.caches.mu.Lock()
-	asking := g.caches.asking
-	g.caches.asking = false
+	asking := g.caches.restoring
+	g.caches.restoring = false
 	g.caches.mu.Unlock()
 	if !asking {
 		return
@@ -173,8 +176,8 @@
 	g.caches.log.Info().Str("event", "learned_recalled").Bool("found", true).Dur("age", message.Age).
 		Strs("sections", slices.Sorted(maps.Keys(message.Sections))).Msg("")
 	for _, section := range g.sections {
-		if kept, lasts := section.(learnedSection); lasts && len(message.Sections[section.name()]) > 0 {
-			kept.recall(now, message.Age, message.Sections[section.name()])
+		if persistent, ok := section.(persistentSection); ok && len(message.Sections[section.name()]) > 0 {
+			persistent.restore(now, message.Age, message.Sections[section.name()])
 		}
 	}
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -16,20 +16,20 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// largestAnswer bounds what is kept of an answer before it is passed on.
-const largestAnswer = 64 << 20
+// maxAnswerBytes is the maximum size of an answer that is buffered before it is forwarded.
+const maxAnswerBytes = 64 << 20
 
-// plain serves a request with one answer.
-func (s *Server) plain(ctx context.Context, w http.ResponseWriter, r *request) {
-	if failure := s.withinLimit(ctx, r); failure != nil {
+// servePlain serves a request that is answered as a whole, not by a stream.
+func (s *Server) servePlain(ctx context.Context, w http.ResponseWriter, r *request) {
+	if failure := s.checkTenantLimit(ctx, r); failure != nil {
 		s.refuse(w, r, failure)
 		return
 	}
 	demand := backend.Demand{Service: r.service.Name, Homes: r.homes(), Priority: r.route.Priority, ByExpectedEnd: s.placesByExpectedEnd(r)}
 	for runs := 0; ; {
-		sent, failure := s.sendUntilTaken(ctx, r, demand)
+		sent, failure := s.sendUntilAccepted(ctx, r, demand)
 		if failure == nil {
-			failure = s.passAnswer(w, r, sent)
+			failure = s.relayAnswer(w, r, sent)
 			if failure == nil {
 				return
 			}
@@ -38,65 +38,66 @@
 			runs++
 			r.lostAnswer = true
 		}
-		// A request that ran and whose answer there is no memory for would need as much again.
+		// A request whose answer exceeded the memory bound is not retried: it would need as much again.
 		if r.route.Kind == route.Safe && failure.Verdict == verdict.MayHaveRun && runs < r.route.Attempts && ctx.Err() == nil {
 			demand.Exclude = append(demand.Exclude, r.outcome.instance)
 			continue
 		}
-		s.refuse(w, r, s.failed(ctx, r, failure, runs > 0))
+		s.refuse(w, r, s.refusalFor(ctx, r, failure, runs > 0))
 		return
 	}
 }
 
-// failed returns the truthful answer for a request without one of an instance.
-func (s *Server) failed(ctx context.Context, r *request, failure *backend.Failure, ran bool) *refusal {
+// refusalFor returns the refusal of a failed request; ran reports whether it may have run before.
+// The refusal states that the request has not run only if that is known.
+func (s *Server) refusalFor(ctx context.Context, r *request, failure *backend.Failure, ran bool) *refusal {
 	late := ctx.Err() != nil || !time.Now().Before(r.deadline)
 	switch {
 	case !ran && failure.Restriction != backend.NotRestricted:
-		return refuseBarred(failure.Restriction)
+		return refuseIneligible(failure.Restriction)
 	case !ran && failure.Verdict == verdict.NotRun:
-		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, leastFullRetry)), failure.Reason)
+		return refuseFor(verdict.CodeOverloaded, cmp.Or(failure.RetryAfter, max(r.retryAfter, minOverloadRetry)), failure.Reason)
 	case late:
-		return uncertain(http.StatusGatewayTimeout, failure.Reason)
+		return refuseOutcomeUnknown(http.StatusGatewayTimeout, failure.Reason)
 	default:
-		return uncertain(http.StatusBadGateway, failure.Reason)
+		return refuseOutcomeUnknown(http.StatusBadGateway, failure.Reason)
 	}
 }
 
-// passAnswer reads a whole answer and hands it to the caller. An answer that is
-// not whole, or no answer of an instance, is a failure.
-func (s *Server) passAnswer(w http.ResponseWriter, r *request, sent *attempt) *backend.Failure {
+// relayAnswer reads a complete answer and writes it to the caller. An incomplete answer, or one
+// without an instance's signature, is a failure.
+func (s *Server) relayAnswer(w http.ResponseWriter, r *request, sent *attempt) *backend.Failure {
 	defer sent.release()
 	answer := sent.answer
-	body, err := io.ReadAll(growingReader{source: io.LimitReader(answer.Body(), largestAnswer), held: r.held, copies: 1})
-	var full *memoryError
-	if errors.As(err, &full) {
+	body, err := io.ReadAll(accountingReader{source: io.LimitReader(answer.Body(), maxAnswerBytes), held: r.held, copies: 1})
+	var outOfMemory *memoryError
+	if errors.As(err, &outOfMemory) {
 		answer.Discard()
 		s.directory.End(time.Now(), sent.choice, backend.Answered)
-		s.logHeld(r, full.bound, true)
-		return &backend.Failure{Verdict: verdict.Ran, Reason: full.Error()}
+		s.logMemoryBound(r, outOfMemory.bound, true)
+		return &backend.Failure{Verdict: verdict.Ran, Reason: outOfMemory.Error()}
 	}
 	if err != nil {
 		answer.Discard()
 		s.directory.EndFailed(time.Now(), sent.choice, backend.Failed)
-		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer broke off: " + err.Error()}
-		s.logSend(r, sent.choice, failure)
+		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer was interrupted: " + err.Error()}
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	answer.Finish()
 	response := answer.Response
-	s.directory.EndFailed(time.Now(), sent.choice, endedWith(response.StatusCode))
+	s.directory.EndFailed(time.Now(), sent.choice, outcomeOfAnswer(response.StatusCode))
 	if response.StatusCode/100 == 2 {
 		s.observe(r, sent, time.Time{}, 0)
 	}
-	if response.StatusCode >= http.StatusInternalServerError && s.mayTryAgain(r) {
+	if response.StatusCode >= http.StatusInternalServerError && s.mayRetry(r) {
 		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the instance answered " + strconv.Itoa(response.StatusCode)}
-		s.logSend(r, sent.choice, failure)
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	if response.StatusCode/100 == 2 && response.Header.Get(s.dialect.Signature) == "" {
 		failure := &backend.Failure{Verdict: verdict.MayHaveRun, Reason: "the answer has no signature"}
-		s.logSend(r, sent.choice, failure)
+		s.logSendFailure(r, sent.choice, failure)
 		return failure
 	}
 	copyHeader(w.Header(), response.Header)
@@ -104,64 +105,64 @@
 	r.outcome.status = response.StatusCode
 	r.outcome.result = "answered"
 	w.WriteHeader(response.StatusCode)
-	s.writeWhole(w, r, body)
+	s.writeInChunks(w, r, body)
 	return nil
 }
 
-// writePiece is how many bytes a caller gets at once: it has the time for a write for each.
-const writePiece = 64 << 10
+// writeChunkBytes is how many bytes are written to a caller at once; each write has its own deadline.
+const writeChunkBytes = 64 << 10
 
-// writeWhole hands a whole answer to the caller. One that leaves, or reads nothing, gets an answer
-// that is cut off.
-func (s *Server) writeWhole(w http.ResponseWriter, r *request, body []byte) {
-	for piece := range slices.Chunk(body, writePiece) {
-		s.awaitReader(w, r)
-		if _, err := w.Write(piece); err != nil {
-			r.outcome.reason = s.writeFailure(err)
+// writeInChunks writes a complete answer to the caller. The answer of a caller that disconnects or
+// stops reading is cut off.
+func (s *Server) writeInChunks(w http.ResponseWriter, r *request, body []byte) {
+	for chunk := range slices.Chunk(body, writeChunkBytes) {
+		s.extendWriteDeadline(w, r)
+		if _, err := w.Write(chunk); err != nil {
+			r.outcome.reason = s.writeErrorReason(err)
 			return
 		}
 	}
 }
 
-// writeFailure says why an answer could not be written to its caller.
-func (s *Server) writeFailure(err error) string {
+// writeErrorReason returns why an answer could not be written to its caller.
+func (s *Server) writeErrorReason(err error) string {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return "the caller read nothing for " + s.unreadLimit.String()
+		return "the caller read nothing for " + s.unreadTimeout.String()
 	}
-	return "the caller left"
+	return "the caller disconnected"
 }
 
-// observe tells the directory how long a whole answer took. firstAt is when its first
-// event came, if it was a stream.
-func (s *Server) observe(r *request, sent *attempt, firstAt time.Time, events int) {
+// observe reports to the directory, the tenant's share and the program's figures how long a
+// complete answer took. firstEventAt is when its first event was received, if it was a stream.
+func (s *Server) observe(r *request, sent *attempt, firstEventAt time.Time, events int) {
 	now := time.Now()
-	seen := backend.Observation{
+	observation := backend.Observation{
 		Kind: r.route.Name, UncachedTokens: sent.choice.UncachedTokens, Load: sent.choice.Load, Duration: now.Sub(sent.sentAt), Events: events,
 	}
 	if events > 0 {
-		seen.TimeToFirstEvent = firstAt.Sub(sent.sentAt)
+		observation.TimeToFirstEvent = firstEventAt.Sub(sent.sentAt)
 	}
-	s.directory.Observe(now, sent.choice, seen)
-	s.tenantServed(now, r, seen.Duration)
-	s.programTurnEnded(now, r, seen.Duration)
+	s.directory.Observe(now, sent.choice, observation)
+	s.recordTenantService(now, r, observation.Duration)
+	s.recordProgramTurn(now, r, observation.Duration)
 }
 
-// endedWith tells an instance's own failures from its answers.
-func endedWith(status int) backend.Outcome {
+// outcomeOfAnswer distinguishes an instance's own failures from its other answers.
+func outcomeOfAnswer(status int) backend.Outcome {
 	if status >= http.StatusInternalServerError {
 		return backend.Failed
 	}
 	return backend.Answered
 }
 
-// mayTryAgain reports whether the request may go to another instance after a run.
-func (s *Server) mayTryAgain(r *request) bool {
-	return r.route.Kind == route.Safe && r.outcome.sends < r.route.Attempts && time.Until(r.deadline) > answerTimeoutLeast
+// mayRetry reports whether the request may be sent to another instance after a run.
+func (s *Server) mayRetry(r *request) bool {
+	return r.route.Kind == route.Safe && r.outcome.sends < r.route.Attempts && time.Until(r.deadline) > minAnswerTimeout
 }
 
-// copyHeader passes an answer's headers on. The absence of a content type is kept.
+// copyHeader copies the headers that are forwarded. An absent content type stays absent.
 func copyHeader(to, from http.Header) {
-	for name, values := range passable(from) {
+	for name, values := range forwardableHeaders(from) {
 		to[name] = values
 	}
 	if _, named := to["Content-Type"]; !named {
