--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// reportLife is how long a report of another gateway counts. Programs admitted by a gateway
+	// reportTTL is how long a report of another gateway counts. Programs admitted by a gateway
 	// that has failed continue through other gateways, so this is as long as most programs take.
-	reportLife = 5 * time.Second
+	reportTTL = 5 * time.Second
 	// maxPrograms bounds each of the two generations of start records that are kept.
 	maxPrograms = 2048
 	// maxSampleSlowdown is the highest slowdown at which the duration of a program is used as a
@@ -80,7 +80,7 @@
 // NewController returns a controller without any observations.
 func NewController() *Controller {
 	return &Controller{
-		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, reports: tally.New[Key](reportLife),
+		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, reports: tally.New[Key](reportTTL),
 		programs: map[string]startRecord{}, previous: map[string]startRecord{},
 	}
 }
--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -152,8 +152,9 @@
 	return expired
 }
 
-// updateIndexes updates the indexes by service and locality: moved members are missing from them,
-// removed ones are still present. The caller must hold the lock.
+// updateIndexes updates the indexes by service and locality. Moved members, which are new or have
+// changed service or zone, are missing from them; removed ones are still present. The caller must
+// hold the lock.
 func (d *Directory) updateIndexes(moved, removed []*member) {
 	if len(moved)+len(removed) > maxIncrementalUpdates {
 		d.updateIndexesInBulk(moved, removed)
@@ -183,21 +184,21 @@
 		}
 	}
 	slices.SortFunc(moved, byID)
-	byService, near, regional := map[string][]*member{}, map[string][]*member{}, map[string][]*member{}
+	byService, sameZone, sameRegion := map[string][]*member{}, map[string][]*member{}, map[string][]*member{}
 	for _, m := range moved {
 		service := m.instance.Service
 		byService[service] = append(byService[service], m)
 		inZone, inRegion := d.locality(m)
 		if inZone {
-			near[service] = append(near[service], m)
+			sameZone[service] = append(sameZone[service], m)
 		}
 		if inRegion {
-			regional[service] = append(regional[service], m)
+			sameRegion[service] = append(sameRegion[service], m)
 		}
 	}
 	mergeInto(d.byService, byService)
-	mergeInto(d.sameZone, near)
-	mergeInto(d.sameRegion, regional)
+	mergeInto(d.sameZone, sameZone)
+	mergeInto(d.sameRegion, sameRegion)
 }
 
 // mergeInto merges sorted members into sorted indexes.
--- a/internal/backend/directory.go
+++ b/internal/backend/directory.go
@@ -262,10 +262,10 @@
 	d.adjustRemote(d.reports[source].loads, -1)
 	d.adjustRemote(loads, 1)
 	d.reports[source] = loadReport{loads: loads, at: now}
-	for name, report := range d.reports {
+	for reporter, report := range d.reports {
 		if now.Sub(report.at) > d.reportTTL() {
 			d.adjustRemote(report.loads, -1)
-			delete(d.reports, name)
+			delete(d.reports, reporter)
 		}
 	}
 }
--- a/internal/backend/placement.go
+++ b/internal/backend/placement.go
@@ -63,7 +63,7 @@
 	Exclude []string
 	// Homes limits the regions whose instances may get the request.
 	Homes place.Homes
-	// Priority is the rank of the request's route; 0 is the highest.
+	// Priority is the rank of the request's route; 0 is the most urgent.
 	Priority int
 	// ByExpectedEnd places the request where it is expected to complete first, using the instance
 	// speeds that all gateways learn together.
--- a/internal/backend/reportedload.go
+++ b/internal/backend/reportedload.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// This file handles many gateways whose load reports arrive less often than requests take. Most
-// reported requests have then finished, and the instance that looks least loaded is the one whose
-// report is most wrong. Programs that follow such differences leave the instances that hold their
-// prompts, and find the same load at the next instance.
+// This file estimates the load where there are many gateways, whose load reports arrive less often
+// than requests take. Most reported requests have then finished, and the instance that seems least
+// loaded is the one whose report is most wrong. Turns that are placed by such differences leave the
+// instances that hold their programs' prompts, and find the same load at the next instance.
 
 // reportGain is the weight of a new interval in the mean interval between reports: the last fifty
 // count, which cover a few seconds of all sources together.
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -26,8 +26,8 @@
 	// window is the time constant of the recorded usage: several times the delay of reports to all
 	// gateways, and about the duration of a program.
 	window = 2 * time.Second
-	// reportLife is how long the last report of a gateway counts.
-	reportLife = 2 * time.Second
+	// reportTTL is how long the last report of a gateway counts.
+	reportTTL = 2 * time.Second
 	// maxReportedTenants is how many tenants a report contains; all others are summed in one entry.
 	maxReportedTenants = 12
 	// minUsage is the usage below which a tenant is dropped.
@@ -62,7 +62,7 @@
 
 // New returns shares without any usage.
 func New() *Shares {
-	return &Shares{own: Usage{}, reports: tally.New[Key](reportLife), defaultWeight: 1}
+	return &Shares{own: Usage{}, reports: tally.New[Key](reportTTL), defaultWeight: 1}
 }
 
 // SetWeights replaces the weights of tenants. Tenants without a weight get the mean of the given
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -44,7 +44,7 @@
 	s.RecordUsage(start, "calm", time.Second)
 	s.ReplaceReport(start, tally.Source{Gateway: "g"}, Usage{KeyOf("hot"): 3000})
 	require.Positive(t, s.Excess(start, "hot"))
-	require.Zero(t, s.Excess(start.Add(reportLife+time.Millisecond), "hot"))
+	require.Zero(t, s.Excess(start.Add(reportTTL+time.Millisecond), "hot"))
 }
 
 // Reports contain the heaviest tenants exactly, and the sum over all tenants.
--- a/internal/feed/candidates.go
+++ b/internal/feed/candidates.go
@@ -21,7 +21,7 @@
 type Upstream struct {
 	// Node is its name. It is empty for seeds, of which the settings list only addresses.
 	Node string
-	// Address is the address to poll. Several addresses, separated by commas, are dialled
+	// Address is the address to poll. Several addresses, separated by commas, are dialed
 	// concurrently, and the first one that accepts a connection is used.
 	Address string
 	Zone    string
--- a/internal/feed/fleet_test.go
+++ b/internal/feed/fleet_test.go
@@ -271,7 +271,7 @@
 	}
 }
 
-// poll polls an upstream and reports a failure if no reply arrives within answerTimeout.
+// poll polls an upstream and reports a failure if no reply arrives within replyTimeout.
 func (f *virtualFleet) poll(p *virtualProcess, upstream Upstream) {
 	p.polled = &upstream
 	polled := p.polled
@@ -279,7 +279,7 @@
 	f.send(p.name, upstream.Address, func(to *virtualProcess) {
 		f.step(to, func() Output[string] { return to.core.HandlePoll(f.now, p.name, request) })
 	})
-	f.schedule(p, answerTimeout, func() {
+	f.schedule(p, replyTimeout, func() {
 		if p.polled == polled && sameUpstream(p.decision.Follow, &upstream) {
 			p.polled = nil
 			f.step(p, func() Output[string] { return p.core.HandleUpstreamFailure(f.now, upstream) })
--- a/internal/feed/follow.go
+++ b/internal/feed/follow.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// poll sends one request and waits for the reply, for at most answerTimeout.
+// poll sends one request and waits for the reply, for at most replyTimeout.
 func poll(connection net.Conn, encoder *gob.Encoder, decoder *gob.Decoder, request Request) (Reply, error) {
-	if err := connection.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
+	if err := connection.SetDeadline(time.Now().Add(replyTimeout)); err != nil {
 		return Reply{}, fmt.Errorf("feed: %w", err)
 	}
 	if err := encoder.Encode(request); err != nil {
--- a/internal/feed/informer.go
+++ b/internal/feed/informer.go
@@ -40,7 +40,7 @@
 	// caughtUp is set once a list or watch has succeeded.
 	caughtUp bool
 
-	// lost is set by the monitor while the store does not answer; wake is signalled to end a
+	// lost is set by the monitor while the store does not answer; wake is signaled to end a
 	// pause after a failure early.
 	lost atomic.Bool
 	wake chan struct{}
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -23,7 +23,7 @@
 
 const (
 	// tickInterval is the interval between calls of Core.Tick. Ten ticks a second keep the
-	// core's timeouts accurate to a tenth of answerTimeout.
+	// core's timeouts accurate to a tenth of replyTimeout.
 	tickInterval = 100 * time.Millisecond
 	// awaitMembersTimeout bounds AwaitMembers. It is short because a fleet that starts for the
 	// first time depends on what its processes write next.
--- a/internal/feed/pendingpolls.go
+++ b/internal/feed/pendingpolls.go
@@ -5,7 +5,7 @@
 const (
 	// pollInterval is how long a poll waits for changes before it is answered with the
 	// status alone. Four replies a second allow a failed upstream to be detected within
-	// answerTimeout, at about 400 bytes a second.
+	// replyTimeout, at about 400 bytes a second.
 	pollInterval = 250 * time.Millisecond
 )
 
--- a/internal/feed/selector.go
+++ b/internal/feed/selector.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// answerTimeout bounds the wait for the reply to a poll. An upstream replies within
+	// replyTimeout bounds the wait for the reply to a poll. An upstream replies within
 	// pollInterval in any case; the timeout is four times that.
-	answerTimeout = 4 * pollInterval
+	replyTimeout = 4 * pollInterval
 	// trialTimeout is how long a new upstream may take to send fresh data.
 	trialTimeout = time.Second
 	// minAvoidance and maxAvoidance bound how long a failed upstream is avoided. The time
@@ -174,7 +174,7 @@
 
 // tickSearch leaves an upstream whose trial has ended and tries the next candidate. When all
 // candidates are avoided the process keeps its upstream, which may be the first to become
-// fresh again. Seeds are dialled again, because another one of them may answer.
+// fresh again. Seeds are dialed again, because another one of them may answer.
 func (s *Selector) tickSearch(now time.Time) {
 	if s.current != nil && s.onTrial(now) {
 		return
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -13,9 +13,9 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// coldWaitDivisor bounds the wait for a slot at a cold instance to a quarter of the route's
+// coldWaitDivisor bounds the wait for a place on a cold instance to a quarter of the route's
 // objective: after a longer wait the answer would probably be late, and the caller does better
-// to retry when a slot is free, or at another gateway.
+// to retry when a place is free, or at another gateway.
 const coldWaitDivisor = 4
 
 // coldServices returns the cold start limits of the configuration by service.
@@ -29,7 +29,7 @@
 	return services
 }
 
-// coldGateways returns the gateways that share the slots of cold instances.
+// coldGateways returns the gateways that share the places of cold instances.
 func coldGateways(nodes map[string]replicaset.Node) []coldstart.Gateway {
 	gateways := make([]coldstart.Gateway, 0, len(nodes))
 	for name, node := range nodes {
@@ -39,13 +39,13 @@
 }
 
 // refuseWhileCold returns the failure of a request for which no instance was found, or nil if
-// the request may wait. Where only cold instances serve, the request is refused at once unless
-// this gateway has a free slot soon. A request that was sent before keeps waiting: it may be a
-// stream that has begun.
+// the request may wait. If all instances are cold, the request is refused at once unless this
+// gateway soon has a free place on one of them. A request that was sent before keeps waiting: it
+// may be a stream that has begun.
 func (s *Server) refuseWhileCold(r *request, service string) *backend.Failure {
-	wait, hasShare, onlyCold := s.directory.AllCold(time.Now(), service)
+	wait, hasShare, allCold := s.directory.AllCold(time.Now(), service)
 	switch {
-	case !onlyCold || r.outcome.sends > 0:
+	case !allCold || r.outcome.sends > 0:
 		return nil
 	case !hasShare:
 		wait = otherGatewayRetry
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -15,7 +15,7 @@
 // come from the age of other gateways' reports alone.
 const excessThreshold = 0.5
 
-// tenantShares tracks the recent service of each tenant. It is safe for concurrent use.
+// tenantShares tracks the slot time recently given to each tenant. It is safe for concurrent use.
 type tenantShares struct {
 	excess prometheus.Histogram
 
@@ -32,7 +32,7 @@
 	return &tenantShares{excess: excess, shares: fairshare.New()}
 }
 
-// setWeights weighs tenants by the rates of their limits, which are the shares of the service
+// setWeights weighs tenants by the rates of their limits, which are the shares of the capacity
 // that the operator has granted.
 func (t *tenantShares) setWeights(tenants *tenant.Index) {
 	weights := map[string]float64{}
@@ -51,8 +51,8 @@
 	return s.options.FairShares && r.tenant != nil && s.usesAdmissionControl(r)
 }
 
-// recordTenantService counts the slot time of a request that was answered completely.
-func (s *Server) recordTenantService(now time.Time, r *request, took time.Duration) {
+// recordTenantUsage counts the slot time of a request that was answered completely.
+func (s *Server) recordTenantUsage(now time.Time, r *request, took time.Duration) {
 	if !s.sharesFairly(r) {
 		return
 	}
@@ -87,10 +87,10 @@
 	return 0
 }
 
-// ShareSection returns the section of the load reports for the service of tenants.
+// ShareSection returns the section of the load reports for the slot time given to tenants.
 func (s *Server) ShareSection() reportSection { return &shareSection{shares: s.shares} }
 
-// shareSection reports the service that tenants received.
+// shareSection reports the slot time given to tenants.
 type shareSection struct {
 	shares   *tenantShares
 	versions newestVersions
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -93,7 +93,8 @@
 	// gateway of another region: an empty slot, in which nothing is sent.
 	remotes rotation
 	// otherRegions holds the gateways of each zone of other regions; reportsZone is set on the
-	// gateways that report there.
+	// gateways that report for their zone to other regions and to the replicas that store learned
+	// state.
 	otherRegions map[string]*rotation
 	reportsZone  bool
 }
@@ -133,7 +134,7 @@
 // SetGateways replaces the gateways to report to by those that the registry lists.
 func (g *Gossip) SetGateways(nodes map[string]replicaset.Node) {
 	var neighbours, remotes []net.Addr
-	distant := map[string]*rotation{}
+	otherRegions := map[string]*rotation{}
 	peerCount, rank := 0, 0
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		node := nodes[name]
@@ -151,23 +152,23 @@
 		case place.SameRegion:
 			remotes = append(remotes, address)
 		default:
-			if distant[node.Zone] == nil {
-				distant[node.Zone] = &rotation{}
+			if otherRegions[node.Zone] == nil {
+				otherRegions[node.Zone] = &rotation{}
 			}
-			distant[node.Zone].addresses = append(distant[node.Zone].addresses, address)
-			// Without an empty slot for it, the own region's gateways would receive reports more
-			// often than their decisions need.
+			otherRegions[node.Zone].addresses = append(otherRegions[node.Zone].addresses, address)
+			// The nil address is an empty slot in the rotation. Without it, the own region's
+			// gateways would receive reports more often than their decisions need.
 			remotes = append(remotes, nil)
 		}
 	}
-	if len(distant) > 0 {
+	if len(otherRegions) > 0 {
 		g.shuffleEmptySlots(remotes)
 	}
 	g.peerCount.Store(int64(peerCount))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.neighbours.addresses, g.remotes.addresses = neighbours, remotes
-	g.otherRegions, g.reportsZone = distant, rank < zoneReporters
+	g.otherRegions, g.reportsZone = otherRegions, rank < zoneReporters
 }
 
 // shuffleEmptySlots shuffles the empty slots among the others, in an order specific to this
@@ -198,12 +199,12 @@
 // send reports this gateway's load until the context ends.
 func (g *Gossip) send(ctx context.Context, socket net.PacketConn) {
 	var lastLoads map[string]int
-	var sentAt, distantAt time.Time
+	var sentAt, crossRegionSentAt time.Time
 	for g.awaitLoadChange(ctx, len(lastLoads) > 0) {
 		now := time.Now()
-		if now.Sub(distantAt) >= crossRegionInterval {
-			distantAt = now
-			g.sendTo(socket, g.nextOtherRegions(), g.zoneReport(now))
+		if now.Sub(crossRegionSentAt) >= crossRegionInterval {
+			crossRegionSentAt = now
+			g.sendTo(socket, g.nextCrossRegionAddresses(), g.zoneReport(now))
 		}
 		loads := g.directory.Loads(now)
 		if maps.Equal(loads, lastLoads) && now.Sub(sentAt) < gossipRefresh {
@@ -252,9 +253,9 @@
 	return ctx.Err() == nil
 }
 
-// nextOtherRegions returns one gateway of each zone of other regions if this gateway reports
-// there, else nil.
-func (g *Gossip) nextOtherRegions() []net.Addr {
+// nextCrossRegionAddresses returns the address of one gateway in each zone of other regions if this
+// gateway reports there, else nil.
+func (g *Gossip) nextCrossRegionAddresses() []net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.reportsZone {
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -88,10 +88,10 @@
 		remotes := slices.DeleteFunc(slices.Clone(g.remotes.addresses), func(a net.Addr) bool { return a == nil })
 		require.Len(t, remotes, 10, "the region's other zone")
 		require.Len(t, g.remotes.addresses, 30, "one slot per gateway outside the own zone")
-		if reached := g.nextOtherRegions(); len(reached) > 0 {
+		if reached := g.nextCrossRegionAddresses(); len(reached) > 0 {
 			reporting++
 			require.Len(t, reached, 2, "one in each zone of the other region")
-			require.NotEqual(t, reached, g.nextOtherRegions(), "round-robin")
+			require.NotEqual(t, reached, g.nextCrossRegionAddresses(), "round-robin")
 		}
 	}
 	require.Equal(t, 4*zoneReporters, reporting)
--- a/internal/gateway/instancespeed.go
+++ b/internal/gateway/instancespeed.go
@@ -26,9 +26,9 @@
 	maxLoggedSpeedChanges = 8
 )
 
-// placesByExpectedEnd reports whether the request goes to the instance where it is expected to
-// end soonest: where load control applies to its service, and for plain services where it
-// applies to the streams that they serve alongside.
+// placesByExpectedEnd reports whether the request is placed on the instance where it is expected
+// to complete first: for a service that generates, where load control applies to it; for a plain
+// service, where load control applies to any streams, because it serves alongside them.
 func (s *Server) placesByExpectedEnd(r *request) bool {
 	if !s.options.InstanceSpeeds {
 		return false
@@ -140,11 +140,11 @@
 
 func (v *speedReview) logChange(speed backend.InstanceSpeed, previous, class speedClass) {
 	v.metrics.speedChanges.Inc()
-	believed := speed.Estimate
+	estimate := speed.Estimate
 	v.log.Info().Str("event", "instance_speed_changed").Str("instance", speed.Instance).Str("service", speed.Service).
-		Int("class", int(class)).Int("class_before", int(previous)).Float64("factor", believed.Slowdown()).
-		Float64("stable", believed.Stable).Float64("momentary", believed.Transient).Float64("failing", believed.FailureRate).
-		Float64("refusing", believed.RefusalRate).Float64("observations", believed.Weight).Int("reporters", speed.Sources).Msg("")
+		Int("class", int(class)).Int("class_before", int(previous)).Float64("factor", estimate.Slowdown()).
+		Float64("stable", estimate.Stable).Float64("momentary", estimate.Transient).Float64("failing", estimate.FailureRate).
+		Float64("refusing", estimate.RefusalRate).Float64("observations", estimate.Weight).Int("reporters", speed.Sources).Msg("")
 }
 
 // maxOverdueMultiple is the multiple of the expected time up to which a silent request is counted
@@ -155,24 +155,24 @@
 // has sent nothing for longer than expected of that instance. The returned function stops the
 // watch.
 func (s *Server) watchOverdue(ctx context.Context, r *request, choice backend.Choice) (stop func()) {
-	sign := s.directory.ExpectResponse(time.Now(), choice, r.route.Kind == route.Streaming)
-	if sign.OverdueAfter == 0 {
+	expectation := s.directory.ExpectResponse(time.Now(), choice, r.route.Kind == route.Streaming)
+	if expectation.OverdueAfter == 0 {
 		return func() {}
 	}
 	ctx, stop = context.WithCancel(ctx)
-	time.AfterFunc(sign.OverdueAfter, func() { s.overdue(ctx, choice, sign, 1) })
+	time.AfterFunc(expectation.OverdueAfter, func() { s.overdue(ctx, choice, expectation, 1) })
 	return stop
 }
 
 // overdue counts a silence of multiple times the expected time, and schedules the next check.
-func (s *Server) overdue(ctx context.Context, choice backend.Choice, sign backend.ResponseExpectation, multiple float64) {
+func (s *Server) overdue(ctx context.Context, choice backend.Choice, expectation backend.ResponseExpectation, multiple float64) {
 	if ctx.Err() != nil {
 		return
 	}
 	s.metrics.overdue.Inc()
-	s.directory.ObserveOverdue(time.Now(), choice, sign, multiple)
+	s.directory.ObserveOverdue(time.Now(), choice, expectation, multiple)
 	if multiple < maxOverdueMultiple {
-		time.AfterFunc(time.Duration(multiple)*sign.OverdueAfter, func() { s.overdue(ctx, choice, sign, 2*multiple) })
+		time.AfterFunc(time.Duration(multiple)*expectation.OverdueAfter, func() { s.overdue(ctx, choice, expectation, 2*multiple) })
 	}
 }
 
--- a/internal/gateway/knowledge.go
+++ b/internal/gateway/knowledge.go
@@ -63,8 +63,8 @@
 		Bool("incomplete", incomplete).Int("ended", len(removed)).Strs("gone", removed[:min(maxLoggedInstances, len(removed))]).Dur("age", s.stateAge()).Msg("")
 }
 
-// MembersChanged applies the registry's objects on this system itself: the cells of replicas and
-// the other gateways.
+// MembersChanged applies the registry's objects that describe the fleet itself: the cells of
+// replicas and the other gateways.
 func (s *Server) MembersChanged(objects []registry.Object, gossip *Gossip, relays *quorum.Relays) {
 	membership := s.members.Read(objects)
 	s.replicas.SetMembership(membership)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -24,7 +24,7 @@
 	store       *prometheus.CounterVec
 	feedAge     prometheus.Gauge
 	// cold is the number of cold instances; coldSends counts requests to them, coldWithheld
-	// placements that found no other instance and no slot at a cold one.
+	// placements that found no other instance and no free place on a cold one.
 	cold         prometheus.Gauge
 	coldSends    prometheus.Counter
 	coldWithheld prometheus.Counter
@@ -37,8 +37,8 @@
 	overdue      prometheus.Counter
 	// memoryBound counts requests that a bound on the memory for callers refused or ended.
 	memoryBound *prometheus.CounterVec
-	// missingTokens counts the prompt tokens that instances were estimated not to have cached.
-	missingTokens prometheus.Counter
+	// uncachedTokens counts the prompt tokens that instances were estimated not to have cached.
+	uncachedTokens prometheus.Counter
 	// limitRefusals counts requests refused by their tenant's limit.
 	limitRefusals *prometheus.CounterVec
 }
@@ -80,10 +80,10 @@
 	m.memoryBound = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "swiftbank_memory_bound_total", Help: "Requests refused or ended for lack of memory for callers, by the bound.", ConstLabels: labels,
 	}, []string{"bound"})
-	m.missingTokens = prometheus.NewCounter(prometheus.CounterOpts{
+	m.uncachedTokens = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "swiftbank_missing_prompt_tokens_total", Help: "Prompt tokens that instances were believed to have to read.", ConstLabels: labels,
 	})
-	m.Registry.MustRegister(m.budgets, m.memoryBound, m.missingTokens)
+	m.Registry.MustRegister(m.budgets, m.memoryBound, m.uncachedTokens)
 	// Both series must exist from the start for a rate to be computed.
 	m.budgets.WithLabelValues(askedOwnRegion, quorum.Granted.String())
 	m.budgets.WithLabelValues(askedEveryRegion, quorum.Granted.String())
@@ -127,7 +127,7 @@
 	m.store.WithLabelValues(method, strconv.Itoa(status)).Inc()
 }
 
-// Relayed counts a request to a replica that another gateway sent.
+// Relayed counts a request to a replica that this gateway sent through another gateway.
 func (m *Metrics) Relayed() { m.relayed.Inc() }
 
 // Label values for the regions asked for a decision on a turn's budget.
--- a/internal/gateway/overload.go
+++ b/internal/gateway/overload.go
@@ -27,7 +27,7 @@
 	return queue
 }
 
-// admits reports whether a request may ask instances now.
+// admits reports whether a request may poll instances now.
 func (q *queues) admits(service string, request overload.Request, capacity overload.Capacity) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,8 +55,8 @@
 	q.queue(r.service.Name).Remove(r.id)
 }
 
-// waitForSlot pauses before instances are asked again. It returns false if the request is refused
-// or its caller has disconnected.
+// waitForSlot pauses before the request polls instances again. It returns false if the request is
+// refused or its caller has disconnected.
 func (s *Server) waitForSlot(ctx context.Context, r *request) bool {
 	if r.isHeld() {
 		return s.awaitNextDecision(ctx, r)
@@ -73,7 +73,7 @@
 	return wait.For(ctx, decision.Pause)
 }
 
-// admits reports whether the request may ask instances now.
+// admits reports whether the request may poll instances now.
 func (s *Server) admits(r *request) bool {
 	return !r.firstOfProgram || s.overload.admits(r.service.Name, s.overloadRequest(r), s.capacity(time.Now(), r)) && s.admitProgram(r)
 }
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -143,7 +143,7 @@
 		observation.TimeToFirstEvent = firstEventAt.Sub(sent.sentAt)
 	}
 	s.directory.Observe(now, sent.choice, observation)
-	s.recordTenantService(now, r, observation.Duration)
+	s.recordTenantUsage(now, r, observation.Duration)
 	s.recordProgramTurn(now, r, observation.Duration)
 }
 
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -111,7 +111,7 @@
 	}
 	now := time.Now()
 	start := admission.ProgramStart{
-		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), TimeLeft: r.programLeft(now), Utilization: s.shareInUse(now, r.service.Name),
+		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), TimeLeft: r.programLeft(now), Utilization: s.utilization(now, r.service.Name),
 		RetryFree: r.admission.RetryFree,
 	}
 	s.programs.mu.Lock()
@@ -126,15 +126,15 @@
 	}
 	turn := admission.Turn{
 		Kind: r.programKind(), Program: r.header.Get(s.dialect.Program), First: r.firstOfProgram, SlotTime: took,
-		Utilization: s.shareInUse(now, r.service.Name),
+		Utilization: s.utilization(now, r.service.Name),
 	}
 	s.programs.mu.Lock()
 	defer s.programs.mu.Unlock()
 	s.programs.controller.TurnCompleted(now, turn)
 }
 
-// shareInUse returns the estimated share of a service's slots that is in use.
-func (s *Server) shareInUse(now time.Time, service string) float64 {
+// utilization returns the estimated fraction of a service's slots that are busy.
+func (s *Server) utilization(now time.Time, service string) float64 {
 	capacity := s.directory.Capacity(now, service)
 	return float64(capacity.Busy) / float64(max(1, capacity.Slots))
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -61,9 +61,9 @@
 	// expectedLoad is the load as estimated from reports of the age reportsAgeMS.
 	expectedLoad float64
 	reportsAgeMS int64
-	// missingTokens is the number of prompt tokens that the instance was estimated not to have cached.
-	missingTokens int
-	candidates    int
+	// uncachedTokens is the number of prompt tokens that the instance was estimated not to have cached.
+	uncachedTokens int
+	candidates     int
 	// lender was the last one asked for an allowance of the tenant; limitMS is how long the check
 	// of the limit took.
 	lender    string
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -119,9 +119,9 @@
 	r.outcome.sends++
 	r.outcome.instance, r.outcome.instanceStarted = choice.Instance.ID, choice.Instance.Born
 	r.outcome.load, r.outcome.cost, r.outcome.candidates = choice.Load, choice.Cost, choice.Candidates
-	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missingTokens = choice.ExpectedLoad, choice.ReportAge.Milliseconds(), choice.UncachedTokens
+	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.uncachedTokens = choice.ExpectedLoad, choice.ReportAge.Milliseconds(), choice.UncachedTokens
 	s.metrics.countSend(choice.Instance.Zone)
-	s.metrics.missingTokens.Add(float64(choice.UncachedTokens))
+	s.metrics.uncachedTokens.Add(float64(choice.UncachedTokens))
 	sendCtx, release := context.WithCancel(ctx)
 	var watch *livenessWatch
 	if r.route.Kind == route.Streaming {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -25,9 +25,9 @@
 	// defaultBody and defaultHeader bound requests before the configuration is known.
 	defaultBody   = 4 << 20
 	defaultHeader = 64 << 10
-	// idleTimeout is how long a caller's connection may be idle. It is longer than callers reuse
+	// callerIdleTimeout is how long a caller's connection may be idle. It is longer than callers reuse
 	// one in any configuration.
-	idleTimeout = 2 * time.Minute
+	callerIdleTimeout = 2 * time.Minute
 	// headerTimeout is how long a caller may take to send a header.
 	headerTimeout = 10 * time.Second
 	// drainDelay is how long new callers are still accepted after readiness ended.
@@ -113,7 +113,7 @@
 	allowances *allowances
 	// overload holds the requests that wait for a slot at an instance.
 	overload *queues
-	// shares tracks the recent service of tenants.
+	// shares tracks the slot time recently given to tenants.
 	shares *tenantShares
 	// held accounts for the memory held for callers; nil where it is not bounded. unreadTimeout is
 	// how long callers may leave an answer unread.
@@ -122,8 +122,8 @@
 	// programs tracks the programs in progress.
 	programs *programs
 
-	// members parses the registry's objects on this system itself; they are applied one change at a
-	// time.
+	// members parses the registry's objects that describe the fleet itself; they are applied one
+	// change at a time.
 	members *replicaset.Reader
 
 	mu       sync.Mutex
@@ -173,7 +173,7 @@
 		return err
 	}
 	server := &http.Server{
-		Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout,
 		MaxHeaderBytes: defaultHeader,
 	}
 	serveErr := make(chan error, 1)
@@ -264,7 +264,7 @@
 	s.log.Info().Str("event", "request").Str("id", r.id).Str("program", r.header.Get(s.dialect.Program)).
 		Str("tenant", r.tenantName()).Str("key_fingerprint", r.keyFingerprint).Str("route", name).Uint64("config", version).Str("service", r.service.Name).
 		Int("status", o.status).Str("result", o.result).Str("reason", o.reason).
-		Str("instance", o.instance).Int("sends", o.sends).Int("load", o.load).Float64("expected_load", o.expectedLoad).Int64("reports_age_ms", o.reportsAgeMS).Float64("cost", o.cost).Int("missing", o.missingTokens).
+		Str("instance", o.instance).Int("sends", o.sends).Int("load", o.load).Float64("expected_load", o.expectedLoad).Int64("reports_age_ms", o.reportsAgeMS).Float64("cost", o.cost).Int("missing", o.uncachedTokens).
 		Int("candidates", o.candidates).Str("lender", o.lender).Float64("limit_ms", o.limitMS).Float64("reserve_ms", o.reserveMS).Float64("first_ms", o.firstMS).
 		Float64("commit_ms", o.commitMS).Int("events", o.events).Int64("charged", o.otherCharges).Bool("asked_regions", o.askedAllRegions).Uint64("epoch", o.epoch).
 		Str("previous", r.header.Get(s.dialect.PreviousTurn)).Int64("list_age_ms", s.instanceListAge().Milliseconds()).
--- a/internal/instancespeed/aggregator.go
+++ b/internal/instancespeed/aggregator.go
@@ -140,7 +140,7 @@
 	return r.all.estimate()
 }
 
-// ApplyReport applies a source's report. Reports that are older than the source's last one are
+// ApplyReport applies a source's report. A report of a gateway that is older than its last one is
 // ignored.
 func (a *Aggregator) ApplyReport(now time.Time, source tally.Source, version tally.Version, entries []Entry) {
 	a.expire(now)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -138,7 +138,7 @@
 	onSent func(to net.Addr, message Send, bytes int)
 	// budget bounds the bytes queued on this connection and others that share it.
 	budget *Budget
-	// wake is signalled when messages are queued.
+	// wake is signaled when messages are queued.
 	wake   chan struct{}
 	closed chan struct{}
 	once   sync.Once
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -64,7 +64,7 @@
 	tally   *Tally
 	// chains holds the replies to a Chain request, by disk.
 	chains map[string][]ledger.Turn
-	// changed is signalled after each reply.
+	// changed is signaled after each reply.
 	changed chan struct{}
 	// votersOnly is set if the request is sent to voters only. onlyReplica names the single
 	// replica that the request is for; it is empty if the request is for several.
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,4 +1,4 @@
-// Package tenant identifies the organisation that a caller belongs to by its API key, using the
+// Package tenant identifies the organization that a caller belongs to by its API key, using the
 // mapping of keys to tenants in the current configuration. Keys are stored only as digests, so
 // that none can reach a log line, a metric, a copy on disk or another process.
 package tenant
@@ -36,7 +36,7 @@
 // Limited reports whether there is a limit.
 func (l Limit) Limited() bool { return l.PerSecond > 0 }
 
-// Tenant is an organisation whose callers share keys and a rate limit.
+// Tenant is an organization whose callers share keys and a rate limit.
 type Tenant struct {
 	Name string
 	Keys []KeyDigest
