--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -53,7 +53,8 @@
 // serviceState is what this gateway has observed of one service.
 type serviceState struct {
 	slowdown slowdown
-	// points is the slowdown over all gateways, as of the last decision.
+	// points are the mean request durations by utilization over all gateways, as of the last
+	// decision; the slowdown is read from them.
 	points []point
 	// utilization is the mean utilization over about the last second: the duration of a turn
 	// reflects the load throughout the turn, not only at its end.
--- a/internal/backend/reportedload.go
+++ b/internal/backend/reportedload.go
@@ -47,10 +47,10 @@
 // which are spread over the service's instances by slots. The caller must hold the lock.
 func (d *Directory) expectedLoad(now time.Time, candidate *member) float64 {
 	service := candidate.instance.Service
-	trusted := d.intervals.fractionRunning(d.serviceSpeedOf(service).durationMS())
+	running := d.intervals.fractionRunning(d.serviceSpeedOf(service).durationMS())
 	usual := d.remotePerSlot(now, service) * float64(max(1, candidate.instance.Slots))
 	own := float64(candidate.inFlight + candidate.heldFailures(now))
-	return own + trusted*float64(candidate.remoteInFlight) + (1-trusted)*usual
+	return own + running*float64(candidate.remoteInFlight) + (1-running)*usual
 }
 
 // reportAge returns the mean age of reported loads if the demand discounts them by age, 0
--- a/internal/gateway/fairshare.go
+++ b/internal/gateway/fairshare.go
@@ -62,7 +62,7 @@
 }
 
 // tenantExcess returns how far above its fair share the tenant of a new program is: 0 within
-// its share or below excessThreshold. It is always 0 for programs that have begun, which are not
+// its share or below excessThreshold. It is always 0 for active programs, which are not
 // ranked behind others.
 func (s *Server) tenantExcess(r *request) float64 {
 	if !r.firstOfProgram || !s.sharesFairly(r) {
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -36,7 +36,7 @@
 
 // useAllowance counts a request and consumes an allowance for it, if there is one. The first
 // request of a program consumes none before its tenant's home lender was asked: the allowances
-// held here are for begun programs first.
+// held here are for active programs first.
 func (a *allowances) useAllowance(tenant string, part quota.Part) bool {
 	if part == quota.PartFirst {
 		return false
--- a/internal/gateway/limitparts.go
+++ b/internal/gateway/limitparts.go
@@ -12,7 +12,7 @@
 )
 
 // programPart returns which part of a program the request is, where credit of limits is reserved
-// for begun programs. A request without a program may be refused like a new program: no work
+// for active programs. A request without a program may be refused like a new program: no work
 // is lost with it.
 func (s *Server) programPart(r *request) quota.Part {
 	switch {
@@ -26,7 +26,7 @@
 }
 
 // awaitProgramAdmission waits until there is capacity for a new program, or refuses it. It is
-// called before the tenant's limit is checked: a program that may not begin must neither consume
+// called before the tenant's limit is checked: a program that may not start must neither consume
 // its tenant's limit nor count as a shortage of the limit.
 func (s *Server) awaitProgramAdmission(ctx context.Context, r *request) *refusal {
 	for !s.admitProgram(r) {
--- a/internal/gateway/programs.go
+++ b/internal/gateway/programs.go
@@ -18,7 +18,7 @@
 	"swiftbank.dev/swiftbank/internal/wait"
 )
 
-// programs holds what this gateway knows of programs in progress. It is safe for concurrent use.
+// programs holds what this gateway knows of active programs. It is safe for concurrent use.
 type programs struct {
 	log     *log.Logger
 	metrics *programMetrics
@@ -32,7 +32,7 @@
 }
 
 // admitsPrograms reports whether new programs of the request's kind are admitted by the expected
-// demand of programs in progress.
+// demand of active programs.
 func (s *Server) admitsPrograms(r *request) bool {
 	return s.options.ProgramAdmission && r.header.Get(s.dialect.Program) != "" && s.usesAdmissionControl(r)
 }
@@ -51,7 +51,7 @@
 	return admission.Kind{Service: r.service.Name, Route: r.route.Name, Rank: r.table.RelativePriority(r.route, r.service.Name)}
 }
 
-// admitProgram reports whether the program of a first request may begin now. An admission is
+// admitProgram reports whether the program of a first request may start now. An admission is
 // final: the program's usage is counted from its first slot on.
 func (s *Server) admitProgram(r *request) bool {
 	if r.admission.Verdict == admission.Admit || !s.admitsPrograms(r) {
@@ -94,7 +94,7 @@
 	return &backend.Failure{Verdict: verdict.NotRun, Reason: "the programs in progress leave no capacity for a new one"}
 }
 
-// withdrawProgram records that the request's program does not begin although it was admitted.
+// withdrawProgram records that the request's program does not start although it was admitted.
 func (s *Server) withdrawProgram(r *request) {
 	if r.admission.Verdict != admission.Admit {
 		return
@@ -169,10 +169,10 @@
 		Int64("list_age_ms", s.instanceListAge().Milliseconds()).Float64("excess", r.outcome.tenantExcess).Msg("")
 }
 
-// ProgramSection returns the section of the load reports for programs in progress.
+// ProgramSection returns the section of the load reports for active programs.
 func (s *Server) ProgramSection() reportSection { return &programSection{programs: s.programs} }
 
-// programSection reports the programs in progress and what was learned from them.
+// programSection reports the active programs and what was learned from programs.
 type programSection struct {
 	programs *programs
 	versions newestVersions
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -105,7 +105,7 @@
 }
 
 // pick selects an instance. It finds none if enough instances have refused the request in this
-// poll, or if the request may not ask instances while there is no capacity.
+// poll, or if the request may not poll instances while there is no capacity.
 func (s *Server) pick(r *request, refusals int, demand backend.Demand) (backend.Choice, bool) {
 	if refusals >= maxRefusals || refusals == 0 && !s.admits(r) {
 		return backend.Choice{}, false
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -63,11 +63,10 @@
 	ReportsAge bool
 	// HeldBytes bounds the memory held for callers where load control applies; 0 means no bound.
 	HeldBytes int64
-	// ProgramAdmission admits new programs by the expected demand of programs in progress, where
+	// ProgramAdmission admits new programs by the expected demand of active programs, where
 	// load control applies.
 	ProgramAdmission bool
-	// LimitSetAside reserves, under load control, credit of tenants' limits for programs that have
-	// begun.
+	// LimitSetAside reserves, under load control, credit of tenants' limits for active programs.
 	LimitSetAside bool
 	// FairShares makes tenants share scarce capacity fairly under load control.
 	FairShares bool
@@ -119,7 +118,7 @@
 	// how long callers may leave an answer unread.
 	held          *heldMemory
 	unreadTimeout time.Duration
-	// programs tracks the programs in progress.
+	// programs tracks the active programs.
 	programs *programs
 
 	// members parses the registry's objects that describe the fleet itself; they are applied one
--- a/internal/settings/loadcontrol.go
+++ b/internal/settings/loadcontrol.go
@@ -16,9 +16,9 @@
 	// them first, based on the speed of each instance.
 	InstanceSpeeds bool `koanf:"instanceSpeeds"`
 	// ProgramAdmission enables the admission of new programs based on the expected demand of
-	// running programs.
+	// active programs.
 	ProgramAdmission bool `koanf:"programAdmission"`
-	// LimitSetAside reserves part of the tenants' limits for programs that have begun, where
+	// LimitSetAside reserves part of the tenants' limits for active programs, where
 	// the guarantees require load control.
 	LimitSetAside bool `koanf:"limitSetAside"`
 	// FairShares queues new programs of tenants that exceed their fair share behind others
