--- a/internal/feed/cache.go
+++ b/internal/feed/cache.go
@@ -11,8 +11,8 @@
 // load: no deployment replaces 1,000 instances within the duration of one poll.
 const maxTombstones = 1024
 
-// maxUnseenSpans bounds, for each kind, the spans between one list and the previous list that
-// are kept. The store discards its history a few times a day at most, which forces a new list.
+// maxUnseenSpans bounds the spans between two successive lists that are kept for each kind. The
+// store discards its history a few times a day at most, which forces a new list.
 const maxUnseenSpans = 16
 
 // Outcome is the result of applying a batch.
