--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// reportLife is how long a report of another gateway counts. Programs admitted by a gateway
+	// reportTTL is how long a report of another gateway counts. Programs admitted by a gateway
 	// that has failed continue through other gateways, so this is as long as most programs take.
-	reportLife = 5 * time.Second
+	reportTTL = 5 * time.Second
 	// maxPrograms bounds each of the two generations of start records that are kept.
 	maxPrograms = 2048
 	// maxSampleSlowdown is the highest slowdown at which the duration of a program is used as a
@@ -53,7 +53,8 @@
 // serviceState is what this gateway has observed of one service.
 type serviceState struct {
 	slowdown slowdown
-	// points is the slowdown over all gateways, as of the last decision.
+	// points are the mean request durations by utilization over all gateways, as of the last
+	// decision; the slowdown is read from them.
 	points []point
 	// utilization is the mean utilization over about the last second: the duration of a turn
 	// reflects the load throughout the turn, not only at its end.
@@ -80,7 +81,7 @@
 // NewController returns a controller without any observations.
 func NewController() *Controller {
 	return &Controller{
-		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, reports: tally.New[Key](reportLife),
+		kinds: map[group]*kindState{}, services: map[group]*serviceState{}, reports: tally.New[Key](reportTTL),
 		programs: map[string]startRecord{}, previous: map[string]startRecord{},
 	}
 }
--- a/internal/backend/reportedload.go
+++ b/internal/backend/reportedload.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// This file handles many gateways whose load reports arrive less often than requests take. Most
-// reported requests have then finished, and the instance that looks least loaded is the one whose
-// report is most wrong. Programs that follow such differences leave the instances that hold their
-// prompts, and find the same load at the next instance.
+// This file estimates the load where there are many gateways, whose load reports arrive less often
+// than requests take. Most reported requests have then finished, and the instance that seems least
+// loaded is the one whose report is most wrong. Turns that are placed by such differences leave the
+// instances that hold their programs' prompts, and find the same load at the next instance.
 
 // reportGain is the weight of a new interval in the mean interval between reports: the last fifty
 // count, which cover a few seconds of all sources together.
@@ -47,10 +47,10 @@
 // which are spread over the service's instances by slots. The caller must hold the lock.
 func (d *Directory) expectedLoad(now time.Time, candidate *member) float64 {
 	service := candidate.instance.Service
-	trusted := d.intervals.fractionRunning(d.serviceSpeedOf(service).durationMS())
+	running := d.intervals.fractionRunning(d.serviceSpeedOf(service).durationMS())
 	usual := d.remotePerSlot(now, service) * float64(max(1, candidate.instance.Slots))
 	own := float64(candidate.inFlight + candidate.heldFailures(now))
-	return own + trusted*float64(candidate.remoteInFlight) + (1-trusted)*usual
+	return own + running*float64(candidate.remoteInFlight) + (1-running)*usual
 }
 
 // reportAge returns the mean age of reported loads if the demand discounts them by age, 0
--- a/internal/gateway/send.go
+++ b/internal/gateway/send.go
@@ -105,7 +105,7 @@
 }
 
 // pick selects an instance. It finds none if enough instances have refused the request in this
-// poll, or if the request may not ask instances while there is no capacity.
+// poll, or if the request may not poll instances while there is no capacity.
 func (s *Server) pick(r *request, refusals int, demand backend.Demand) (backend.Choice, bool) {
 	if refusals >= maxRefusals || refusals == 0 && !s.admits(r) {
 		return backend.Choice{}, false
@@ -119,9 +119,9 @@
 	r.outcome.sends++
 	r.outcome.instance, r.outcome.instanceStarted = choice.Instance.ID, choice.Instance.Born
 	r.outcome.load, r.outcome.cost, r.outcome.candidates = choice.Load, choice.Cost, choice.Candidates
-	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.missingTokens = choice.ExpectedLoad, choice.ReportAge.Milliseconds(), choice.UncachedTokens
+	r.outcome.expectedLoad, r.outcome.reportsAgeMS, r.outcome.uncachedTokens = choice.ExpectedLoad, choice.ReportAge.Milliseconds(), choice.UncachedTokens
 	s.metrics.countSend(choice.Instance.Zone)
-	s.metrics.missingTokens.Add(float64(choice.UncachedTokens))
+	s.metrics.uncachedTokens.Add(float64(choice.UncachedTokens))
 	sendCtx, release := context.WithCancel(ctx)
 	var watch *livenessWatch
 	if r.route.Kind == route.Streaming {
