--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -69,7 +69,7 @@
 		Node: config.Node, Zone: config.Zone, Dialect: platform.Dialect(), Directory: directory, Replicas: replicas,
 		Log: process.log, Metrics: metrics, Copies: config.TolerateMachines + 1,
 		Evacuations:      config.EvacuationLimit > 0,
-		LoadControl:      platform.AsksForLoadControl(config.Guarantees),
+		LoadControl:      platform.RequiresLoadControl(config.Guarantees),
 		InstanceSpeeds:   config.InstanceSpeeds,
 		ProgramAdmission: config.ProgramAdmission,
 		ReportsAge:       config.ReportsAge,
@@ -86,7 +86,7 @@
 	if config.InstanceSpeeds {
 		gossip.AddSection(gateway.NewSpeedSection(directory, process.log, metrics))
 	}
-	if config.FairShares && platform.AsksForLoadControl(config.Guarantees) {
+	if config.FairShares && platform.RequiresLoadControl(config.Guarantees) {
 		gossip.AddSection(server.ShareSection())
 	}
 	store := platform.NewStore(config.StoreAddress, metrics.StoreCall, process.storeCallFailed)
@@ -103,7 +103,7 @@
 	})
 	process.log.Info().Str("event", "start").Str("role", "gateway").Str("zone", config.Zone).
 		Str("callers", config.CallerAddress).Str("store", config.StoreAddress).
-		Bool("load_control", platform.AsksForLoadControl(config.Guarantees)).Msg("")
+		Bool("load_control", platform.RequiresLoadControl(config.Guarantees)).Msg("")
 	var running conc.WaitGroup
 	running.Go(func() { knowledge.Run(life) })
 	running.Go(func() { process.failing("gossip", gossip.Run(life, config.PeerAddress)) })
--- a/internal/e2e/fleet_cases_test.go
+++ b/internal/e2e/fleet_cases_test.go
@@ -69,7 +69,7 @@
 	var once sync.Once
 	cut := func(*http.Request) platformtest.Behaviour {
 		var behaviour platformtest.Behaviour
-		once.Do(func() { behaviour.CutAfter = 2 })
+		once.Do(func() { behaviour.AbortAfterEvents = 2 })
 		return behaviour
 	}
 	for _, engine := range f.engines {
@@ -79,7 +79,7 @@
 	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
 	require.NoError(t, got.err)
 	require.Equal(t, http.StatusOK, got.status)
-	for number := 1; number <= f.engines[0].Events; number++ {
+	for number := 1; number <= f.engines[0].EventCount; number++ {
 		require.Equal(t, 1, strings.Count(got.body, fmt.Sprintf("id: %d\ndata: %s-%d\n\n", number, got.id, number)), got.body)
 	}
 	runs := runsOf(got.id, f.engines)
@@ -87,7 +87,7 @@
 	require.Equal(t, 2, max(runs[0].LastEvent, runs[1].LastEvent), "the second run goes on behind the last whole event")
 
 	// A stream that is resumed behind its last event has a head and no events.
-	header := http.Header{"Last-Event-Id": {fmt.Sprint(f.engines[0].Events)}, "X-Token-Count": {"10,50"}}
+	header := http.Header{"Last-Event-Id": {fmt.Sprint(f.engines[0].EventCount)}, "X-Token-Count": {"10,50"}}
 	end := f.post(f.gateways[0], agentHost, "/plan/t", header, "plan")
 	require.Equal(t, http.StatusOK, end.status)
 	require.NotEmpty(t, end.header.Get("X-Server-Signature"))
@@ -102,7 +102,7 @@
 		for _, engine := range f.engines {
 			engine.SetBehaviour(func(*http.Request) platformtest.Behaviour {
 				var behaviour platformtest.Behaviour
-				once.Do(func() { behaviour.CutAfter = 1 })
+				once.Do(func() { behaviour.AbortAfterEvents = 1 })
 				return behaviour
 			})
 			defer engine.SetBehaviour(nil)
@@ -129,8 +129,8 @@
 		engine.SetBehaviour(func(*http.Request) platformtest.Behaviour {
 			var behaviour platformtest.Behaviour
 			once.Do(func() {
-				ended, behaviour.CutAfter = index, 1
-				engine.Refuse()
+				ended, behaviour.AbortAfterEvents = index, 1
+				engine.CloseListener()
 			})
 			return behaviour
 		})
@@ -138,7 +138,7 @@
 	}
 	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
 	require.Equal(t, http.StatusOK, got.status)
-	require.Equal(t, f.engines[0].Events, strings.Count(got.body, "\n\n"))
+	require.Equal(t, f.engines[0].EventCount, strings.Count(got.body, "\n\n"))
 	f.store.Delete("servers", f.engines[ended].ID)
 	f.engines[ended] = f.newBackEnd(f.engines[ended].ID+"-again", "llm", zones[ended%len(zones)])
 }
@@ -149,8 +149,8 @@
 	var once sync.Once
 	for _, engine := range f.engines {
 		engine.SetBehaviour(func(*http.Request) platformtest.Behaviour {
-			behaviour := platformtest.Behaviour{LoseAnswer: true}
-			once.Do(func() { behaviour = platformtest.Behaviour{CutAfter: 1} })
+			behaviour := platformtest.Behaviour{DropResponse: true}
+			once.Do(func() { behaviour = platformtest.Behaviour{AbortAfterEvents: 1} })
 			return behaviour
 		})
 		defer engine.SetBehaviour(nil)
@@ -183,7 +183,7 @@
 
 func (f *fleet) testLostAnswer(t *testing.T) {
 	for _, app := range f.apps {
-		app.SetBehaviour(func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{LoseAnswer: true} })
+		app.SetBehaviour(func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{DropResponse: true} })
 		defer app.SetBehaviour(nil)
 	}
 	unsafe := f.post(f.gateways[0], appsHost, "/charge/a", nil, "charge")
@@ -194,7 +194,7 @@
 	for _, app := range f.apps {
 		app.SetBehaviour(func(*http.Request) platformtest.Behaviour {
 			var behaviour platformtest.Behaviour
-			once.Do(func() { behaviour.LoseAnswer = true })
+			once.Do(func() { behaviour.DropResponse = true })
 			return behaviour
 		})
 	}
@@ -202,7 +202,7 @@
 	require.Equal(t, http.StatusOK, safe.status)
 	require.Len(t, runsOf(safe.id, f.apps), 2)
 
-	unsigned := func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{Unsigned: true} }
+	unsigned := func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{OmitSignature: true} }
 	for _, app := range f.apps {
 		app.SetBehaviour(unsigned)
 	}
@@ -332,8 +332,8 @@
 
 func (f *fleet) testPlannedStop(t *testing.T) {
 	for _, engine := range f.engines {
-		engine.Gap = 200 * time.Millisecond
-		defer func() { engine.Gap = 0 }()
+		engine.EventInterval = 200 * time.Millisecond
+		defer func() { engine.EventInterval = 0 }()
 	}
 	results := make(chan answered, 1)
 	id := f.newID()
@@ -345,7 +345,7 @@
 	require.Eventually(t, func() bool { return status("http://"+f.gateways[0].ready+"/readiness") != http.StatusOK }, 10*time.Second, 5*time.Millisecond)
 	got := <-results
 	require.NoError(t, got.err)
-	require.Contains(t, got.body, fmt.Sprintf("id: %d\n", f.engines[0].Events))
+	require.Contains(t, got.body, fmt.Sprintf("id: %d\n", f.engines[0].EventCount))
 	require.NoError(t, <-f.gateways[0].exited)
 	f.start(f.gateways[0])
 	f.awaitReady(f.gateways[0])
--- a/internal/e2e/leave_test.go
+++ b/internal/e2e/leave_test.go
@@ -27,10 +27,10 @@
 	}{
 		"a stream":                         {agentHost, "/plan/t", true, f.engines, platformtest.Behaviour{}, 0},
 		"a turn":                           {agentHost, "/chat/t", true, f.engines, platformtest.Behaviour{}, 0},
-		"a stream that was resumed":        {agentHost, "/plan/t", true, f.engines, platformtest.Behaviour{CutAfter: 1}, 1},
+		"a stream that was resumed":        {agentHost, "/plan/t", true, f.engines, platformtest.Behaviour{AbortAfterEvents: 1}, 1},
 		"a stream that waited for room":    {agentHost, "/plan/t", true, f.engines, platformtest.Behaviour{Refuse: true}, 5},
 		"a safe call":                      {appsHost, "/start/t", false, f.apps, platformtest.Behaviour{}, 0},
-		"a safe call that was sent again":  {appsHost, "/start/t", false, f.apps, platformtest.Behaviour{LoseAnswer: true}, 1},
+		"a safe call that was sent again":  {appsHost, "/start/t", false, f.apps, platformtest.Behaviour{DropResponse: true}, 1},
 		"an unsafe call":                   {appsHost, "/charge/t", false, f.apps, platformtest.Behaviour{}, 0},
 		"an unsafe call that waited first": {appsHost, "/charge/t", false, f.apps, platformtest.Behaviour{Refuse: true}, 5},
 	} {
@@ -51,7 +51,7 @@
 				})
 				defer engine.SetBehaviour(nil)
 			}
-			left := func() int { return test.back[0].Left() + test.back[1].Left() }
+			left := func() int { return test.back[0].CancelledRuns() + test.back[1].CancelledRuns() }
 			before := left()
 			id := f.newID()
 			leave := f.begin(t, id, test.host, test.path, test.stream)
--- a/internal/e2e/regions_test.go
+++ b/internal/e2e/regions_test.go
@@ -19,7 +19,7 @@
 	turn := func(gateway *member, program, previous string) answered {
 		return f.turn(gateway, turnRequest{path: "/chat/t", program: program, previous: previous, budget: budget, most: most, body: "x|"})
 	}
-	tokens := 10 * f.engines[0].Events
+	tokens := 10 * f.engines[0].EventCount
 	require.Less(t, 2*tokens, budget/2, "a region's share must hold some turns")
 	// spend runs turns in a region until one is refused, and returns the tokens handed out.
 	spend := func(gateway *member, program string) (spent, refused int) {
--- a/internal/e2e/soak_checks_test.go
+++ b/internal/e2e/soak_checks_test.go
@@ -96,7 +96,7 @@
 	var spans []span
 	for _, r := range s.records {
 		if r.tenant == len(soakTenants)-1 && len(runs[r.id]) > 0 {
-			spans = append(spans, span{r.sentAt, runs[r.id][0].At.Sub(s.began)})
+			spans = append(spans, span{r.sentAt, runs[r.id][0].StartedAt.Sub(s.began)})
 		}
 	}
 	for _, first := range spans {
@@ -122,13 +122,13 @@
 		assert.Equal(t, "answer to "+r.id+" by "+signer, r.body, about)
 		return
 	}
-	assert.Equal(t, s.engines[0].Events, r.events(), "not all events: %s", about)
+	assert.Equal(t, s.engines[0].EventCount, r.events(), "not all events: %s", about)
 }
 
 // checkOrder checks that a stream, whole or broken off, holds each event once and in order.
 func (s *soak) checkOrder(t assert.TestingT, r record, about string) {
 	var expected strings.Builder
-	for number := 1; number <= s.engines[0].Events; number++ {
+	for number := 1; number <= s.engines[0].EventCount; number++ {
 		fmt.Fprintf(&expected, "id: %d\ndata: %s-%d\n\n", number, r.id, number)
 	}
 	if r.status == http.StatusOK {
@@ -181,7 +181,7 @@
 		for number := range count {
 			id, at := fmt.Sprint(number), time.Duration(number)*pause
 			s.records = append(s.records, record{tenant: len(soakTenants) - 1, sentAt: at, answered: answered{id: id}})
-			runs[id] = []platformtest.Run{{ID: id, At: s.began.Add(at)}}
+			runs[id] = []platformtest.Run{{ID: id, StartedAt: s.began.Add(at)}}
 		}
 		var found counter
 		s.checkLimits(&found, runs)
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -314,7 +314,7 @@
 	if !s.free(backEnd.ID) {
 		return "", nil, false
 	}
-	behaviours := []platformtest.Behaviour{{Refuse: true}, {LoseAnswer: true}, {CutAfter: 2}, {Unsigned: true}}
+	behaviours := []platformtest.Behaviour{{Refuse: true}, {DropResponse: true}, {AbortAfterEvents: 2}, {OmitSignature: true}}
 	behaviour := pick(s, behaviours)
 	backEnd.SetBehaviour(func(*http.Request) platformtest.Behaviour { return behaviour })
 	return backEnd.ID, func() { backEnd.SetBehaviour(nil) }, true
@@ -330,8 +330,8 @@
 			return platformtest.Fault{Status: http.StatusServiceUnavailable}
 		},
 		func(*http.Request) platformtest.Fault { return platformtest.Fault{Status: http.StatusTooManyRequests} },
-		func(*http.Request) platformtest.Fault { return platformtest.Fault{Silent: true} },
-		func(r *http.Request) platformtest.Fault { return platformtest.Fault{Lost: isWrite(r)} },
+		func(*http.Request) platformtest.Fault { return platformtest.Fault{Hang: true} },
+		func(r *http.Request) platformtest.Fault { return platformtest.Fault{DropResponse: isWrite(r)} },
 	}
 	s.store.SetFault(pick(s, kinds))
 	return targetStore, func() { s.store.SetFault(nil) }, true
@@ -341,8 +341,8 @@
 	if !s.free(targetStore) {
 		return "", nil, false
 	}
-	s.store.SetDeaf(true)
-	return targetStore, func() { s.store.Forget(); s.store.SetDeaf(false) }, true
+	s.store.SetDropWatchEvents(true)
+	return targetStore, func() { s.store.CompactHistory(); s.store.SetDropWatchEvents(false) }, true
 }
 
 // probePath returns the path of a route that the given version brings.
--- a/internal/e2e/soak_load_test.go
+++ b/internal/e2e/soak_load_test.go
@@ -35,7 +35,7 @@
 // addLoad gives engines their speeds and the configuration the less urgent route.
 func (s *soak) addLoad() {
 	for i, engine := range s.engines {
-		engine.SetGap(engineGaps[i%len(engineGaps)])
+		engine.SetExtraEventInterval(engineGaps[i%len(engineGaps)])
 	}
 	s.config.Routes = append(s.config.Routes, map[string]any{
 		"name": "batch", "host": agentHost, "path_prefix": "/batch/", "kind": "streaming", "timeout_ms": 8000,
@@ -97,13 +97,13 @@
 // slowOne slows an engine for a moment.
 func (s *soak) slowOne(ctx context.Context, random *rand.Rand) {
 	chosen := random.IntN(len(s.engines))
-	s.engines[chosen].SetGap(slowedGap)
+	s.engines[chosen].SetExtraEventInterval(slowedGap)
 	s.note("engine slowed: %s", s.engines[chosen].ID)
 	select {
 	case <-ctx.Done():
 	case <-time.After(500*time.Millisecond + time.Duration(random.Int64N(int64(2*time.Second)))):
 	}
-	s.engines[chosen].SetGap(engineGaps[chosen%len(engineGaps)])
+	s.engines[chosen].SetExtraEventInterval(engineGaps[chosen%len(engineGaps)])
 }
 
 // slowBody is an answer that is read slowly.
