--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -66,9 +66,9 @@
 		fmt.Fprintf(out, "request %s is not in these logs\n", report.ID)
 	}
 	for _, step := range report.Steps {
-		fmt.Fprintf(out, "%8d ms  %-24s %-22s %s\n", step.AtMS, step.Node, step.Event, step.About)
+		fmt.Fprintf(out, "%8d ms  %-24s %-22s %s\n", step.AtMS, step.Node, step.Event, step.Description)
 	}
-	for _, doubt := range report.Doubts {
+	for _, doubt := range report.Warnings {
 		fmt.Fprintln(out, "note:", doubt)
 	}
 }
--- a/internal/command/pressure.go
+++ b/internal/command/pressure.go
@@ -83,7 +83,7 @@
 	fmt.Fprintf(out, "%-44s %-40s %12s %10s %10s %9s\n", "metric", "of", "sum", "least", "most", "gateways")
 	for _, row := range rows {
 		fmt.Fprintf(out, "%-44s %-40s %12.1f %10.1f %10.1f %9d\n",
-			row.Metric, strings.Join(row.Labels, " "), row.Sum, row.Least, row.Most, row.Gateways)
+			row.Metric, strings.Join(row.Labels, " "), row.Sum, row.Min, row.Max, row.Gateways)
 	}
 	return nil
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -75,7 +75,7 @@
 		SilenceErrors: true,
 		PersistentPreRun: func(command *cobra.Command, _ []string) {
 			if command.Annotations[servesUntilStopped] == "" {
-				hangup.Release()
+				hangup.RestoreDefault()
 			}
 		},
 	}
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return exitWith(ExitUsage, err)
 		}
-		rows := timeline.Make(log, *span, group)
+		rows := timeline.Summarize(log, *span, group)
 		if *output == "json" {
 			return printJSON(command.OutOrStdout(), rows)
 		}
@@ -56,7 +56,7 @@
 	for _, row := range rows {
 		fmt.Fprintf(out, "%8.1f  %-24s %8d %8d %8d %8d %7.0f/%7.0f %7.0f/%7.0f  %s\n",
 			row.FromS, row.Group, row.Answered, row.Refused, row.Failed, row.LateStarts,
-			row.FirstMS.Median, row.FirstMS.P95, row.TookMS.Median, row.TookMS.P95, reasonList(row.Reasons))
+			row.FirstEventMS.Median, row.FirstEventMS.P95, row.DurationMS.Median, row.DurationMS.P95, reasonList(row.Reasons))
 	}
 }
 
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -107,7 +107,7 @@
 func (n *Node) joinPending(now time.Time, waiting *pendingCall, from waiter, payload CallPayload) {
 	same := waiting.request.ID == payload.Request.ID && waiting.request.IdempotencyKey == payload.Request.IdempotencyKey
 	if !same {
-		n.respond(now, from, Reply{Error: verdict.Refuse(verdict.CodePreviousUnended, firstRecheck, "another call of the session is waiting")})
+		n.respond(now, from, Reply{Error: verdict.Refuse(verdict.CodePreviousInProgress, firstRecheck, "another call of the session is waiting")})
 		return
 	}
 	waiting.waiters = addWaiter(waiting.waiters, from)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -131,7 +131,7 @@
 		code     verdict.Code
 	}{
 		{"gap", 3, "k3", verdict.CodeSequenceGap},
-		{"previous in progress", 2, "k2", verdict.CodePreviousUnended},
+		{"previous in progress", 2, "k2", verdict.CodePreviousInProgress},
 		{"another key for the same number", 1, "other", verdict.CodeKeyConflict},
 	}
 	for place, c := range cases {
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -25,7 +25,7 @@
 	case payload.Wait || payload.Caller != nil:
 		n.attach(g, from, call)
 	default:
-		refusal := verdict.Unknown(verdict.CodeAnswerInProgress, "the call is in progress")
+		refusal := verdict.OutcomeUnknown(verdict.CodeAnswerInProgress, "the call is in progress")
 		refusal.RetryAfter = time.Second
 		n.respond(now, from, Reply{Error: refusal})
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -22,9 +22,9 @@
 	Event string
 	// Time is the node's own time of day; Corrected has the node's difference to the
 	// others taken off.
-	Time      time.Time
-	Corrected time.Time
-	Fields    map[string]any
+	Time          time.Time
+	CorrectedTime time.Time
+	Fields        map[string]any
 	// order is the line's place in its input.
 	order int
 }
@@ -36,8 +36,8 @@
 	Unreadable int
 	// Dropped counts, by node, the lines that the processes say they dropped.
 	Dropped map[string]int
-	// Jumps counts, by node, how often the time of day went back.
-	Jumps map[string]int
+	// ClockJumps counts, by node, how often the time of day went back.
+	ClockJumps map[string]int
 }
 
 // maxLine bounds one line.
@@ -80,7 +80,7 @@
 
 // prepare counts drops and jumps and corrects the nodes' clocks.
 func (l *Log) prepare() {
-	l.Dropped, l.Jumps = map[string]int{}, map[string]int{}
+	l.Dropped, l.ClockJumps = map[string]int{}, map[string]int{}
 	last := map[string]time.Time{}
 	const jump = 500 * time.Millisecond
 	for _, line := range l.Lines {
@@ -88,13 +88,13 @@
 			l.Dropped[line.Node] += int(lines)
 		}
 		if line.Time.Before(last[line.Node].Add(-jump)) {
-			l.Jumps[line.Node]++
+			l.ClockJumps[line.Node]++
 		}
 		last[line.Node] = line.Time
 	}
 	offsets := l.offsets()
 	for place := range l.Lines {
-		l.Lines[place].Corrected = l.Lines[place].Time.Add(-offsets[l.Lines[place].Node])
+		l.Lines[place].CorrectedTime = l.Lines[place].Time.Add(-offsets[l.Lines[place].Node])
 	}
 }
 
@@ -157,18 +157,18 @@
 	// Steps are the lines that name the request, and those of the same node that
 	// changed what it believed while the request was there.
 	Steps []Step `json:"steps"`
-	// Doubts say what may be missing or out of order.
-	Doubts []string `json:"doubts,omitempty"`
+	// Warnings say what may be missing or out of order.
+	Warnings []string `json:"doubts,omitempty"`
 }
 
 // Step is one line of a report.
 type Step struct {
 	// AtMS is the time since the first step.
-	AtMS   int64          `json:"atMs"`
-	Node   string         `json:"node"`
-	Event  string         `json:"event"`
-	About  string         `json:"about"`
-	Fields map[string]any `json:"fields"`
+	AtMS        int64          `json:"atMs"`
+	Node        string         `json:"node"`
+	Event       string         `json:"event"`
+	Description string         `json:"about"`
+	Fields      map[string]any `json:"fields"`
 }
 
 // beliefSpan is how long before a request's first line a change of belief still
@@ -178,7 +178,7 @@
 // Explain reports on a request by its id.
 func (l *Log) Explain(id string) Report {
 	l.prepare()
-	report := Report{ID: id, Doubts: l.doubts()}
+	report := Report{ID: id, Warnings: l.doubts()}
 	var own []Line
 	for _, line := range l.Lines {
 		if line.Fields["id"] == id {
@@ -186,7 +186,7 @@
 		}
 	}
 	if len(own) == 0 {
-		report.Doubts = append(report.Doubts, "no line names this id: look for it at the other nodes, and whether their lines were dropped")
+		report.Warnings = append(report.Warnings, "no line names this id: look for it at the other nodes, and whether their lines were dropped")
 		return report
 	}
 	report.Found = true
@@ -195,12 +195,12 @@
 		if a.Node == b.Node {
 			return cmp.Compare(a.order, b.order)
 		}
-		return a.Corrected.Compare(b.Corrected)
+		return a.CorrectedTime.Compare(b.CorrectedTime)
 	})
-	first := lines[0].Corrected
+	first := lines[0].CorrectedTime
 	for _, line := range lines {
 		report.Steps = append(report.Steps, Step{
-			AtMS: line.Corrected.Sub(first).Milliseconds(), Node: line.Node, Event: line.Event, About: describe(line), Fields: line.Fields,
+			AtMS: line.CorrectedTime.Sub(first).Milliseconds(), Node: line.Node, Event: line.Event, Description: describe(line), Fields: line.Fields,
 		})
 	}
 	return report
@@ -211,22 +211,22 @@
 func (l *Log) beliefs(own []Line) []Line {
 	from, to := map[string]time.Time{}, map[string]time.Time{}
 	for _, line := range own {
-		began := line.Corrected
+		began := line.CorrectedTime
 		if took, timed := line.Fields["took_ms"].(float64); timed {
 			began = began.Add(-time.Duration(took) * time.Millisecond)
 		}
 		if from[line.Node].IsZero() || began.Before(from[line.Node]) {
 			from[line.Node] = began
 		}
-		if line.Corrected.After(to[line.Node]) {
-			to[line.Node] = line.Corrected
+		if line.CorrectedTime.After(to[line.Node]) {
+			to[line.Node] = line.CorrectedTime
 		}
 	}
 	var beliefs []Line
 	for _, line := range l.Lines {
 		_, names := line.Fields["id"]
 		since, there := from[line.Node]
-		if names || !there || line.Corrected.Before(since.Add(-beliefSpan)) || line.Corrected.After(to[line.Node]) {
+		if names || !there || line.CorrectedTime.Before(since.Add(-beliefSpan)) || line.CorrectedTime.After(to[line.Node]) {
 			continue
 		}
 		beliefs = append(beliefs, line)
@@ -239,8 +239,8 @@
 	for _, node := range slices.Sorted(maps.Keys(l.Dropped)) {
 		doubts = append(doubts, fmt.Sprintf("%s dropped %d lines", node, l.Dropped[node]))
 	}
-	for _, node := range slices.Sorted(maps.Keys(l.Jumps)) {
-		doubts = append(doubts, fmt.Sprintf("the clock of %s went back %d times: its lines keep their own order", node, l.Jumps[node]))
+	for _, node := range slices.Sorted(maps.Keys(l.ClockJumps)) {
+		doubts = append(doubts, fmt.Sprintf("the clock of %s went back %d times: its lines keep their own order", node, l.ClockJumps[node]))
 	}
 	if l.Unreadable > 0 {
 		doubts = append(doubts, fmt.Sprintf("%d lines could not be read", l.Unreadable))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -35,10 +35,10 @@
 		"replica-1 history_missing", "gateway-1 request",
 	}, events)
 	require.Equal(t, int64(1205), report.Steps[4].AtMS, "the replica's clock is corrected")
-	require.Contains(t, report.Steps[5].About, "answered 503 (unavailable) after 110 ms")
+	require.Contains(t, report.Steps[5].Description, "answered 503 (unavailable) after 110 ms")
 	require.Equal(t, []string{
 		"gateway-1 dropped 7 lines", "the clock of gateway-1 went back 1 times: its lines keep their own order", "1 lines could not be read",
-	}, report.Doubts)
+	}, report.Warnings)
 }
 
 func TestAnUnknownIDIsSaidSo(t *testing.T) {
@@ -46,7 +46,7 @@
 	require.NoError(t, log.Read(strings.NewReader(recorded)))
 	report := log.Explain("nobody")
 	require.False(t, report.Found)
-	require.Contains(t, report.Doubts[len(report.Doubts)-1], "no line names this id")
+	require.Contains(t, report.Warnings[len(report.Warnings)-1], "no line names this id")
 }
 
 func TestALimitIsExplained(t *testing.T) {
@@ -54,7 +54,7 @@
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(line)))
 	require.Equal(t, "tenant riga is beyond its limit of 12.5 a second and a burst of 6 under configuration 4: replica-2, asked last, has an allowance in 740 ms",
-		log.Explain("r9").Steps[0].About)
+		log.Explain("r9").Steps[0].Description)
 }
 
 func TestAPlacementByOldReportsAndABoundOfMemoryAreExplained(t *testing.T) {
@@ -64,7 +64,7 @@
 	} {
 		var log Log
 		require.NoError(t, log.Read(strings.NewReader(line)))
-		require.Equal(t, about, log.Explain("r1").Steps[0].About)
+		require.Equal(t, about, log.Explain("r1").Steps[0].Description)
 	}
 }
 
@@ -73,5 +73,5 @@
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(line)))
 	require.Equal(t, "tenant riga holds back new programs: 4 began within the window, each makes 17.5 requests, its limit of 12.5 a second and a burst of 6 has credit for 31; replica-2, its home lender, expects credit for a whole one in 740 ms",
-		log.Explain("r9").Steps[0].About)
+		log.Explain("r9").Steps[0].Description)
 }
--- a/internal/feed/node.go
+++ b/internal/feed/node.go
@@ -315,7 +315,7 @@
 
 func (n *Node) serve(ctx context.Context, listener net.Listener) {
 	server := peer.NewServer(listener, n.asked)
-	server.CountSent(func(to net.Addr, _ Reply, bytes int) { n.options.Traffic.SentTo("feed", to, bytes) })
+	server.CountSent(func(to net.Addr, _ Reply, bytes int) { n.options.Traffic.AddSentTo("feed", to, bytes) })
 	stop := context.AfterFunc(ctx, server.Close)
 	defer stop()
 	server.Run()
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -283,7 +283,7 @@
 			continue
 		}
 		if sent, err := socket.WriteTo(message.Bytes(), peer); err == nil {
-			g.traffic.SentTo("load", peer, sent)
+			g.traffic.AddSentTo("load", peer, sent)
 		}
 	}
 }
--- a/internal/gateway/learnedcache.go
+++ b/internal/gateway/learnedcache.go
@@ -154,7 +154,7 @@
 			g.caches.log.Warn().Str("event", "learned_send_failed").Str("peer", cache.String()).Err(err).Msg("")
 			continue
 		}
-		g.traffic.SentTo("learned", cache, len(encoded))
+		g.traffic.AddSentTo("learned", cache, len(encoded))
 	}
 }
 
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -55,7 +55,7 @@
 func refuseBarred(bar backend.Restriction) *refusal {
 	code := verdict.CodeEvacuated
 	if bar == backend.RestrictedByHomes {
-		code = verdict.CodeNoHome
+		code = verdict.CodeNoInstanceInHome
 	}
 	return refuseFor(code, barredRetry, bar.String())
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -25,8 +25,8 @@
 // Signals returns the channel of hangups, for processes that serve until they are stopped.
 func Signals() chan os.Signal { return received }
 
-// Release gives SIGHUP its usual effect back, for commands that end by themselves.
-func Release() {
+// RestoreDefault gives SIGHUP its usual effect back, for commands that end by themselves.
+func RestoreDefault() {
 	signal.Reset(syscall.SIGHUP)
 	endAtHangup()
 }
--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -119,5 +119,5 @@
 		logger.Warn().Str("event", "learned_answer_failed").Str("zone", answer.Zone).Str("peer", to.String()).Err(err).Msg("")
 		return
 	}
-	sent.SentTo("learned", to, len(encoded))
+	sent.AddSentTo("learned", to, len(encoded))
 }
--- a/internal/loadstatus/loadstatus.go
+++ b/internal/loadstatus/loadstatus.go
@@ -25,8 +25,8 @@
 	// Sum is over the gateways, Least and Most the extremes among them; Gateways is how many
 	// said something.
 	Sum      float64 `json:"sum"`
-	Least    float64 `json:"least"`
-	Most     float64 `json:"most"`
+	Min      float64 `json:"least"`
+	Max      float64 `json:"most"`
 	Gateways int     `json:"gateways"`
 }
 
@@ -73,12 +73,12 @@
 	key := name + "{" + strings.Join(labels, ",")
 	row := s.rows[key]
 	if row == nil {
-		row = &Row{Metric: name, Labels: labels, Least: value, Most: value}
+		row = &Row{Metric: name, Labels: labels, Min: value, Max: value}
 		s.rows[key] = row
 	}
 	row.Sum += value
-	row.Least = min(row.Least, value)
-	row.Most = max(row.Most, value)
+	row.Min = min(row.Min, value)
+	row.Max = max(row.Max, value)
 	row.Gateways++
 }
 
--- a/internal/loadstatus/loadstatus_test.go
+++ b/internal/loadstatus/loadstatus_test.go
@@ -30,8 +30,8 @@
 	require.NoError(t, status.Add(strings.NewReader(first)))
 	require.NoError(t, status.Add(strings.NewReader(second)))
 	require.Equal(t, []loadstatus.Row{
-		{Metric: "swiftbank_admission_refused_total", Labels: []string{"rank=1", "service=llm"}, Sum: 7, Least: 3, Most: 4, Gateways: 2},
-		{Metric: "swiftbank_admission_room", Labels: []string{"service=llm"}, Sum: 84, Least: 40, Most: 44, Gateways: 2},
+		{Metric: "swiftbank_admission_refused_total", Labels: []string{"rank=1", "service=llm"}, Sum: 7, Min: 3, Max: 4, Gateways: 2},
+		{Metric: "swiftbank_admission_room", Labels: []string{"service=llm"}, Sum: 84, Min: 40, Max: 44, Gateways: 2},
 	}, status.Rows())
 }
 
--- a/internal/quorum/forward.go
+++ b/internal/quorum/forward.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	server := peer.NewServer(listener, c.Forward)
-	server.CountSent(func(to net.Addr, _ RelayReply, bytes int) { c.traffic.SentTo("relay_reply", to, bytes) })
+	server.CountSent(func(to net.Addr, _ RelayReply, bytes int) { c.traffic.AddSentTo("relay_reply", to, bytes) })
 	stop := context.AfterFunc(ctx, server.Close)
 	defer stop()
 	server.Run()
--- a/internal/quorum/link.go
+++ b/internal/quorum/link.go
@@ -122,7 +122,7 @@
 
 // Sent implements peer.SentCounter.
 func (r *replicaLink) Sent(_ net.Addr, request ledger.Request, bytes int) {
-	r.client.traffic.SentToZone(request.Kind(), r.zone, bytes)
+	r.client.traffic.AddSentToZone(request.Kind(), r.zone, bytes)
 }
 
 // reconnectIfSilent replaces a connection on which the replica has not replied for
--- a/internal/quorum/relay.go
+++ b/internal/quorum/relay.go
@@ -176,7 +176,7 @@
 
 // Sent implements peer.SentCounter.
 func (l *relayLink) Sent(_ net.Addr, _ RelayRequest, bytes int) {
-	l.relays.traffic.SentToZone("relay", l.node.Zone, bytes)
+	l.relays.traffic.AddSentToZone("relay", l.node.Zone, bytes)
 }
 
 // LinkUp implements peer.Handler.
--- a/internal/replica/peers.go
+++ b/internal/replica/peers.go
@@ -106,7 +106,7 @@
 
 // Sent implements peer.SentCounter.
 func (p *peerState) Sent(_ net.Addr, request ledger.Request, bytes int) {
-	p.server.options.Traffic.SentToZone(request.Kind(), p.node.Zone, bytes)
+	p.server.options.Traffic.AddSentToZone(request.Kind(), p.node.Zone, bytes)
 }
 
 func (p *peerState) receive(reply ledger.Reply) {
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -197,7 +197,7 @@
 	server := peer.NewServer(listener, func(from *peer.Connection[ledger.Reply], request ledger.Request) {
 		s.postMessage(request.Bytes(), func() { s.receive(from, request) })
 	})
-	server.CountSent(func(to net.Addr, reply ledger.Reply, bytes int) { s.options.Traffic.SentTo(reply.Kind(), to, bytes) })
+	server.CountSent(func(to net.Addr, reply ledger.Reply, bytes int) { s.options.Traffic.AddSentTo(reply.Kind(), to, bytes) })
 	server.LimitOutgoing(s.limits.outgoing)
 	return server
 }
--- a/internal/server/errors.go
+++ b/internal/server/errors.go
@@ -22,7 +22,7 @@
 		return http.StatusNotFound
 	case verdict.CodeMethodUnsupported:
 		return http.StatusMethodNotAllowed
-	case verdict.CodeSequenceGap, verdict.CodePreviousUnended, verdict.CodeKeyConflict, verdict.CodeAnswerInProgress:
+	case verdict.CodeSequenceGap, verdict.CodePreviousInProgress, verdict.CodeKeyConflict, verdict.CodeAnswerInProgress:
 		return http.StatusConflict
 	case verdict.CodeSessionEnded:
 		return http.StatusGone
--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -346,7 +346,7 @@
 			s.push(core.CallerGone{RequestID: requestID})
 			return
 		case <-s.context.Done():
-			writer.finish(&core.Reply{Error: verdict.Unknown(verdict.CodeUnavailable, "the node stopped; ask another node for the answer by its number")}, stream)
+			writer.finish(&core.Reply{Error: verdict.OutcomeUnknown(verdict.CodeUnavailable, "the node stopped; ask another node for the answer by its number")}, stream)
 			return
 		}
 	}
--- a/internal/shard/classify.go
+++ b/internal/shard/classify.go
@@ -85,7 +85,7 @@
 	case request.ID.Sequence != next:
 		return verdict.Refuse(verdict.CodeSequenceGap, 0, "the session's next call is %d, not %d", next, request.ID.Sequence)
 	case s.InProgress():
-		return verdict.Refuse(verdict.CodePreviousUnended, previousCallRetry, "call %d is still in progress", next-1)
+		return verdict.Refuse(verdict.CodePreviousInProgress, previousCallRetry, "call %d is still in progress", next-1)
 	}
 	for _, call := range s.Calls {
 		if call.Request.IdempotencyKey == request.IdempotencyKey {
--- a/internal/shard/state.go
+++ b/internal/shard/state.go
@@ -127,7 +127,7 @@
 	case Refused:
 		return BeginResult{Refusal: refusal}
 	case InProgress, Recorded:
-		return BeginResult{Refusal: verdict.Refuse(verdict.CodePreviousUnended, previousCallRetry, "the call is already recorded")}
+		return BeginResult{Refusal: verdict.Refuse(verdict.CodePreviousInProgress, previousCallRetry, "the call is already recorded")}
 	}
 	if refusal := s.allowance(c.Request.ID.Key.Tenant).reserve(c.Reserve, c.BudgetVersion); refusal != nil {
 		return BeginResult{Refusal: refusal}
@@ -183,7 +183,7 @@
 	}
 	call := session.CallBySequence(c.ID.Sequence)
 	if call.Outcome != nil || c.Attempt != call.Attempt+1 {
-		return BeginResult{Refusal: verdict.Refuse(verdict.CodePreviousUnended, previousCallRetry, "another attempt is recorded")}
+		return BeginResult{Refusal: verdict.Refuse(verdict.CodePreviousInProgress, previousCallRetry, "another attempt is recorded")}
 	}
 	next := *call
 	next.Attempt = c.Attempt
--- a/internal/timeline/cell.go
+++ b/internal/timeline/cell.go
@@ -89,7 +89,7 @@
 func (c *cell) row() Row {
 	return Row{
 		Answered: c.answered, Refused: c.refused, Failed: c.failed, LateStarts: c.late,
-		FirstMS: quantilesOf(c.first), TookMS: quantilesOf(c.took), Reasons: c.reasons,
+		FirstEventMS: quantilesOf(c.first), DurationMS: quantilesOf(c.took), Reasons: c.reasons,
 	}
 }
 
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -37,10 +37,10 @@
 	Failed   int `json:"failed"`
 	// LateStarts counts the requests whose program had no time left when they came.
 	LateStarts int `json:"late_starts"`
-	// FirstMS and TookMS are the median and the 95th percentile of the time to the first event
+	// FirstEventMS and TookMS are the median and the 95th percentile of the time to the first event
 	// and of the whole time of answered requests, in milliseconds.
-	FirstMS Quantiles `json:"first_ms"`
-	TookMS  Quantiles `json:"took_ms"`
+	FirstEventMS Quantiles `json:"first_ms"`
+	DurationMS   Quantiles `json:"took_ms"`
 	// Reasons counts the refused and failed requests by result.
 	Reasons map[string]int `json:"reasons,omitempty"`
 }
@@ -57,8 +57,8 @@
 	startEvent   = "start"
 )
 
-// Make returns the rows of a log in the order of time, the groups of a span by name.
-func Make(log *explain.Log, span time.Duration, by Group) []Row {
+// Summarize returns the rows of a log in the order of time, the groups of a span by name.
+func Summarize(log *explain.Log, span time.Duration, by Group) []Row {
 	zones := zonesOf(log)
 	cells := map[cellKey]*cell{}
 	var first time.Time
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -29,11 +29,11 @@
 }
 
 func TestRequestsAreSummedBySpanAndGroup(t *testing.T) {
-	rows := timeline.Make(read(t), 2*time.Second, timeline.ByRoute)
+	rows := timeline.Summarize(read(t), 2*time.Second, timeline.ByRoute)
 	require.Equal(t, []timeline.Row{
 		{
 			FromS: 0, Group: "chat", Answered: 2, Reasons: map[string]int{},
-			FirstMS: timeline.Quantiles{Median: 40, P95: 60}, TookMS: timeline.Quantiles{Median: 100, P95: 300},
+			FirstEventMS: timeline.Quantiles{Median: 40, P95: 60}, DurationMS: timeline.Quantiles{Median: 100, P95: 300},
 		},
 		{FromS: 0, Group: "plan", Refused: 1, LateStarts: 1, Reasons: map[string]int{"overloaded": 1}},
 		{FromS: 2, Group: "chat", Failed: 1, Reasons: map[string]int{"outcome_unknown": 1}},
@@ -43,7 +43,7 @@
 func TestGroupsAreZonesOrTenantsAsAsked(t *testing.T) {
 	names := func(by timeline.Group) []string {
 		var groups []string
-		for _, row := range timeline.Make(read(t), time.Minute, by) {
+		for _, row := range timeline.Summarize(read(t), time.Minute, by) {
 			groups = append(groups, row.Group)
 		}
 		return groups
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -53,22 +53,22 @@
 	c.zones.Store(&zones)
 }
 
-// SentToZone counts a message to a process in a zone.
-func (c *Counter) SentToZone(kind, zone string, bytes int) {
+// AddSentToZone counts a message to a process in a zone.
+func (c *Counter) AddSentToZone(kind, zone string, bytes int) {
 	if c != nil {
 		c.bytes.WithLabelValues(kind, c.places.Distance(c.zone, zone).String()).Add(float64(bytes))
 	}
 }
 
-// SentTo counts a message to the process at an address.
-func (c *Counter) SentTo(kind string, address net.Addr, bytes int) {
+// AddSentTo counts a message to the process at an address.
+func (c *Counter) AddSentTo(kind string, address net.Addr, bytes int) {
 	if c == nil {
 		return
 	}
 	if zones := c.zones.Load(); zones != nil {
 		host, _, err := net.SplitHostPort(address.String())
 		if zone, known := (*zones)[host]; err == nil && known {
-			c.SentToZone(kind, zone, bytes)
+			c.AddSentToZone(kind, zone, bytes)
 			return
 		}
 	}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -16,14 +16,14 @@
 	places := place.Map{"a": "east", "b": "east", "c": "west"}
 	counter := NewCounter("n", "a", places, prometheus.NewRegistry())
 	address := func(host string) net.Addr { return &net.TCPAddr{IP: net.ParseIP(host), Port: 40000} }
-	counter.SentTo("reserve", address("10.0.0.1"), 1)
+	counter.AddSentTo("reserve", address("10.0.0.1"), 1)
 	counter.SetMembers(replicaset.Membership{
 		Replicas: map[string]replicaset.Node{"r": {Address: "10.0.0.1:7000", Zone: "c"}},
 		Gateways: map[string]replicaset.Node{"g": {Address: "10.0.0.2:7000", Zone: "b"}, "bad": {Address: "?"}},
 	})
-	counter.SentTo("reserve", address("10.0.0.1"), 10)
-	counter.SentTo("load", address("10.0.0.2"), 20)
-	counter.SentToZone("load", "a", 30)
+	counter.AddSentTo("reserve", address("10.0.0.1"), 10)
+	counter.AddSentTo("load", address("10.0.0.2"), 20)
+	counter.AddSentToZone("load", "a", 30)
 	for label, want := range map[[2]string]float64{
 		{"reserve", "unknown"}: 1, {"reserve", "other_region"}: 10, {"load", "region"}: 20, {"load", "zone"}: 30,
 	} {
@@ -33,6 +33,6 @@
 	}
 	var none *Counter
 	none.SetMembers(replicaset.Membership{})
-	none.SentTo("load", address("10.0.0.2"), 1)
-	none.SentToZone("load", "a", 1)
+	none.AddSentTo("load", address("10.0.0.2"), 1)
+	none.AddSentToZone("load", "a", 1)
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -39,32 +39,32 @@
 
 // The codes a caller can meet. docs/API.md lists them with their HTTP status.
 const (
-	CodeBadRequest        Code = "bad_request"
-	CodeUnauthorized      Code = "unauthorized"
-	CodeNotPermitted      Code = "not_permitted"
-	CodeNotFound          Code = "not_found"
-	CodeSequenceGap       Code = "sequence_gap"
-	CodePreviousUnended   Code = "previous_call_in_progress"
-	CodeKeyConflict       Code = "idempotency_key_conflict"
-	CodeSessionEnded      Code = "session_ended"
-	CodeLimitReached      Code = "program_limit_reached"
-	CodeBudgetExhausted   Code = "budget_exhausted"
-	CodeTenantLimit       Code = "tenant_limit_reached"
-	CodeOverloaded        Code = "overloaded"
-	CodeDeadline          Code = "deadline_exceeded"
-	CodeNoBackEnd         Code = "no_back_end"
-	CodeEvacuated         Code = "zones_evacuated"
-	CodeNoHome            Code = "no_instance_in_home_regions"
-	CodeBackEndFailed     Code = "back_end_failed"
-	CodeOutcomeUnknown    Code = "outcome_unknown"
-	CodeUnavailable       Code = "unavailable"
-	CodeStaleConfig       Code = "configuration_behind"
-	CodeInternal          Code = "internal"
-	CodeTooLarge          Code = "too_large"
-	CodeTooManyStreams    Code = "too_many_streams"
-	CodeAnswerInProgress  Code = "answer_in_progress"
-	CodeNotLeader         Code = "not_leader"
-	CodeMethodUnsupported Code = "method_not_allowed"
+	CodeBadRequest         Code = "bad_request"
+	CodeUnauthorized       Code = "unauthorized"
+	CodeNotPermitted       Code = "not_permitted"
+	CodeNotFound           Code = "not_found"
+	CodeSequenceGap        Code = "sequence_gap"
+	CodePreviousInProgress Code = "previous_call_in_progress"
+	CodeKeyConflict        Code = "idempotency_key_conflict"
+	CodeSessionEnded       Code = "session_ended"
+	CodeLimitReached       Code = "program_limit_reached"
+	CodeBudgetExhausted    Code = "budget_exhausted"
+	CodeTenantLimit        Code = "tenant_limit_reached"
+	CodeOverloaded         Code = "overloaded"
+	CodeDeadline           Code = "deadline_exceeded"
+	CodeNoBackEnd          Code = "no_back_end"
+	CodeEvacuated          Code = "zones_evacuated"
+	CodeNoInstanceInHome   Code = "no_instance_in_home_regions"
+	CodeBackEndFailed      Code = "back_end_failed"
+	CodeOutcomeUnknown     Code = "outcome_unknown"
+	CodeUnavailable        Code = "unavailable"
+	CodeStaleConfig        Code = "configuration_behind"
+	CodeInternal           Code = "internal"
+	CodeTooLarge           Code = "too_large"
+	CodeTooManyStreams     Code = "too_many_streams"
+	CodeAnswerInProgress   Code = "answer_in_progress"
+	CodeNotLeader          Code = "not_leader"
+	CodeMethodUnsupported  Code = "method_not_allowed"
 )
 
 // Error is the error struct of the product. It is immutable once returned.
@@ -89,7 +89,7 @@
 	return &Error{Verdict: NotRun, Code: code, Reason: fmt.Sprintf(format, arguments...), RetryAfter: retryAfter}
 }
 
-// Unknown returns a MayHaveRun error.
-func Unknown(code Code, format string, arguments ...any) *Error {
+// OutcomeUnknown returns a MayHaveRun error.
+func OutcomeUnknown(code Code, format string, arguments ...any) *Error {
 	return &Error{Verdict: MayHaveRun, Code: code, Reason: fmt.Sprintf(format, arguments...)}
 }
