--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -36,7 +36,7 @@
 		ctx, cancel := context.WithTimeout(command.Context(), operatorTimeout)
 		defer cancel()
 		client := objectapi.New(*platform)
-		p, err := plan(ctx, client, set, prune)
+		p, err := planChanges(ctx, client, set, prune)
 		if err != nil {
 			return err
 		}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -27,7 +27,7 @@
 	return path
 }
 
-func TestDeclarationsFromFileToForce(t *testing.T) {
+func TestDeclarationsAreValidatedAndApplied(t *testing.T) {
 	server := httptest.NewServer(standin.NewPlatform().Handler())
 	defer server.Close()
 	platform := "--platform=" + server.URL
@@ -79,7 +79,7 @@
 	require.Len(t, parsed.Faults, 2)
 }
 
-func TestWrongCommandLinesSayWhatToWrite(t *testing.T) {
+func TestUsageErrorsNameExpectedInput(t *testing.T) {
 	cases := map[string][]string{
 		"unknown fault":    {"simulate", "--faults", "meteor"},
 		"write 7, 1-200":   {"simulate", "--seed", "x"},
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestSimulateReportsTheStatedFields(t *testing.T) {
+func TestSimulateReportHasAllFields(t *testing.T) {
 	code, out, _ := run(t, "simulate", "--deployment", "luzon", "--seed", "7", "--duration", "3m", "--faults", "kill", "-o", "json")
 	require.Equal(t, ExitSuccess, code)
 	var report map[string]any
--- a/internal/command/declarations.go
+++ b/internal/command/declarations.go
@@ -17,15 +17,16 @@
 	"swiftbank.dev/swiftbank/internal/objectapi"
 )
 
-// operatorTimeout bounds the operators' commands.
+// operatorTimeout bounds each call that an operator's command makes.
 const operatorTimeout = 30 * time.Second
 
-// platformFlag adds --platform and returns its value.
+// platformFlag adds the flag --platform and returns a pointer to its value.
 func platformFlag(command *cobra.Command) *string {
 	return command.Flags().String("platform", "http://127.0.0.1:7000", "base URL of the platform's object API")
 }
 
-// readDeclarations reads declaration files; faults are printed and end the command.
+// readDeclarations reads declaration files. If they have faults, it prints them and returns an
+// error with ExitFaults.
 func readDeclarations(paths []string, format string, out io.Writer) (*declaration.Set, error) {
 	set, err := declaration.ReadPaths(paths)
 	if err != nil {
@@ -46,28 +47,28 @@
 	return nil, exitWith(ExitFaults, fmt.Errorf("%d faults", len(set.Faults)))
 }
 
-// planned is the difference between what is declared and what is in force.
-type planned struct {
+// changePlan is the difference between what is declared and what is in force.
+type changePlan struct {
 	current *catalogue.Catalogue
 	edits   []catalogue.Edit
 }
 
-func plan(ctx context.Context, client *objectapi.Client, set *declaration.Set, prune bool) (planned, error) {
+func planChanges(ctx context.Context, client *objectapi.Client, set *declaration.Set, prune bool) (changePlan, error) {
 	current, err := change.Load(ctx, client)
 	if err != nil {
-		return planned{}, exitWith(ExitFailure, err)
+		return changePlan{}, exitWith(ExitFailure, err)
 	}
-	return planned{current: current, edits: change.Plan(current, set.Objects, prune)}, nil
+	return changePlan{current: current, edits: change.Plan(current, set.Objects, prune)}, nil
 }
 
 // printEdits prints one line for each edit.
-func (p planned) printEdits(out io.Writer) {
+func (p changePlan) printEdits(out io.Writer) {
 	for _, edit := range p.edits {
-		fmt.Fprintf(out, "%s %s\n", p.verb(edit), edit.Reference)
+		fmt.Fprintf(out, "%s %s\n", p.action(edit), edit.Reference)
 	}
 }
 
-func (p planned) verb(edit catalogue.Edit) string {
+func (p changePlan) action(edit catalogue.Edit) string {
 	switch {
 	case edit.Object == nil:
 		return "delete"
@@ -88,7 +89,7 @@
 	return "unknown"
 }
 
-// printConflict shows both sides of a lost race.
+// printConflict prints both versions of objects that another operator changed concurrently.
 func printConflict(out io.Writer, conflict *change.Conflict, format string) error {
 	if format == "json" {
 		if err := printJSON(out, map[string]any{"conflict": conflict.Objects, "revision": conflict.Other.Revision, "operator": conflict.Other.Operator}); err != nil {
@@ -117,8 +118,8 @@
 	return conflict, found
 }
 
-// printSides prints what is in force and what is declared for each change.
-func (p planned) printSides(out io.Writer) error {
+// printVersions prints the version in force and the declared version of each changed object.
+func (p changePlan) printVersions(out io.Writer) error {
 	for _, edit := range p.edits {
 		stored, found := p.current.Get(edit.Reference)
 		if !found || edit.Object == nil {
--- a/internal/command/diff.go
+++ b/internal/command/diff.go
@@ -32,7 +32,7 @@
 		}
 		ctx, cancel := context.WithTimeout(command.Context(), operatorTimeout)
 		defer cancel()
-		p, err := plan(ctx, objectapi.New(*platform), set, prune)
+		p, err := planChanges(ctx, objectapi.New(*platform), set, prune)
 		if err != nil {
 			return err
 		}
@@ -41,21 +41,21 @@
 	return command
 }
 
-// difference is one edit with both sides.
+// difference is one edit and the version of the object in force.
 type difference struct {
-	Edit string         `json:"action"`
-	Now  any            `json:"inForce"`
-	New  catalogue.Edit `json:"edit"`
+	Action  string         `json:"action"`
+	InForce any            `json:"inForce"`
+	Edit    catalogue.Edit `json:"edit"`
 }
 
-func showDifferences(command *cobra.Command, p planned, format string) error {
+func showDifferences(command *cobra.Command, p changePlan, format string) error {
 	out := command.OutOrStdout()
 	if format == "json" {
 		differences := []difference{}
 		for _, edit := range p.edits {
-			entry := difference{Edit: p.verb(edit), New: edit}
+			entry := difference{Action: p.action(edit), Edit: edit}
 			if stored, found := p.current.Get(edit.Reference); found {
-				entry.Now = stored.Object
+				entry.InForce = stored.Object
 			}
 			differences = append(differences, entry)
 		}
@@ -65,7 +65,7 @@
 	} else {
 		fmt.Fprintf(out, "in force: revision %d\n", p.current.Revision())
 		p.printEdits(out)
-		if err := p.printSides(out); err != nil {
+		if err := p.printVersions(out); err != nil {
 			return err
 		}
 	}
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -11,7 +11,7 @@
 func newDrainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "drain OPERATOR-ADDRESS",
-		Short:   "Prepare a node for its stop: readiness goes, leadership moves, work ends",
+		Short:   "Drain a node before a stop: withdraw readiness, transfer leadership, finish work",
 		Example: "  swiftbank drain 127.0.0.1:7301",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
--- a/internal/command/experiment.go
+++ b/internal/command/experiment.go
@@ -113,11 +113,11 @@
 		}
 		for _, r := range c.Ratios {
 			fmt.Fprintf(out, "load %.2f, ratio to %s: mean %s, p50 %s, p95 %s, wasted %s\n",
-				c.Load, r.To, spreadText(r.Mean), spreadText(r.P50), spreadText(r.P95), spreadText(r.Wasted))
+				c.Load, r.To, formatSpread(r.Mean), formatSpread(r.P50), formatSpread(r.P95), formatSpread(r.Wasted))
 		}
 	}
 }
 
-func spreadText(s experiment.Spread) string {
+func formatSpread(s experiment.Spread) string {
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", s.Mean, s.Lowest, s.Most)
 }
--- a/internal/command/explain.go
+++ b/internal/command/explain.go
@@ -13,9 +13,9 @@
 func newExplainCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "explain ID [LOG...]",
-		Short: "Say from the logs of gateways and replicas what happened to a request",
+		Short: "Show what happened to a request, from the logs of gateways and replicas",
 		Long: "Reads log files of several processes, or standard input, and prints the lines that concern\n" +
-			"the request in order, with what its nodes believed at the time. Exits with 1 when no line\nnames the id.",
+			"the request in order, with the state that its nodes acted on. Exits with 1 when no line\nnames the id.",
 		Example: "  swiftbank explain 9c41d07be2a35f68 gateway-*.log replica-*.log",
 		Args:    cobra.MinimumNArgs(1),
 	}
@@ -68,7 +68,7 @@
 	for _, step := range report.Steps {
 		fmt.Fprintf(out, "%8d ms  %-24s %-22s %s\n", step.AtMS, step.Node, step.Event, step.Description)
 	}
-	for _, doubt := range report.Warnings {
-		fmt.Fprintln(out, "note:", doubt)
+	for _, warning := range report.Warnings {
+		fmt.Fprintln(out, "note:", warning)
 	}
 }
--- a/internal/command/fleet.go
+++ b/internal/command/fleet.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	// settingsVariable names the settings file where no flag does.
+	// settingsVariable is the environment variable with the settings file, used if --settings
+	// is not given.
 	settingsVariable = "SWIFTBANK_CONFIG"
-	// memoryShare is the part of the machine's memory at which the collector works
-	// harder, in percent.
-	memoryShare = 55
-	// collectorPercent lets the heap grow between collections: the heaps are small,
-	// and processor time is dear.
-	collectorPercent = 50
-	// logFlushTimeout is how long the end of a process waits for its log to be read.
+	// memoryLimitPercent is the soft memory limit of the Go runtime as a percentage of the
+	// machine's memory. The garbage collector runs more often above it.
+	memoryLimitPercent = 55
+	// gcPercent is the GOGC value: how much, in percent, the heap may grow between
+	// collections. The heaps are small, and processor time is scarce.
+	gcPercent = 50
+	// logFlushTimeout bounds the wait for the output to accept the remaining log lines on exit.
 	logFlushTimeout = 200 * time.Millisecond
 )
 
@@ -43,29 +44,29 @@
 func (f *fleetFlags) add(command *cobra.Command) {
 	command.Flags().StringVar(&f.settingsFile, "settings", os.Getenv(settingsVariable),
 		"settings file (default: the file named by "+settingsVariable+")")
-	command.Flags().StringArrayVar(&f.overrides, "set", nil, "key=value that goes over the settings file; may be repeated")
+	command.Flags().StringArrayVar(&f.overrides, "set", nil, "key=value that overrides the settings file; may be repeated")
 }
 
-// process is what every long-running command has.
+// process holds the log of a long-running command.
 type process struct {
 	log    *log.Logger
 	writer *eventlog.Writer
 }
 
 func newProcess(member settings.Member) *process {
-	debug.SetMemoryLimit(int64(member.MemoryMB) << 20 * memoryShare / 100)
-	debug.SetGCPercent(collectorPercent)
+	debug.SetMemoryLimit(int64(member.MemoryMB) << 20 * memoryLimitPercent / 100)
+	debug.SetGCPercent(gcPercent)
 	writer := eventlog.NewWriter(os.Stdout)
 	logger := eventlog.New(writer, member.Node)
 	logger.Level = log.ParseLevel(member.LogLevel)
 	return &process{log: logger, writer: writer}
 }
 
-// close writes the rest of the log.
+// close flushes the log, for at most logFlushTimeout.
 func (p *process) close() { p.writer.Close(logFlushTimeout) }
 
-// watchReload logs each SIGHUP after reading the settings again; what may change
-// in a running process is the level of the log.
+// watchReload reloads the settings on each SIGHUP and logs the outcome, until ctx ends. Only the
+// log level may change in a running process.
 func (p *process) watchReload(ctx context.Context, reload func() (settings.Member, error)) {
 	for {
 		select {
@@ -82,8 +83,8 @@
 	}
 }
 
-// contact logs a dependency that was lost or is reached again.
-func (p *process) contact(source string, err error) {
+// logDependency logs that a dependency was lost (err is not nil) or regained.
+func (p *process) logDependency(source string, err error) {
 	if err != nil {
 		p.log.Warn().Str("event", "dependency_lost").Str("dependency", source).Err(err).Msg("")
 		return
@@ -91,7 +92,7 @@
 	p.log.Info().Str("event", "dependency_regained").Str("dependency", source).Msg("")
 }
 
-// storeCallFailed logs a call to the shared store that failed, or a wrong document.
+// storeCallFailed logs a failed call to the shared store, or a malformed object in it.
 func (p *process) storeCallFailed(kind string, err error) {
 	if errors.Is(err, platform.ErrUnreadable) {
 		p.log.Warn().Str("event", "object_unreadable").Str("kind", kind).Err(err).Msg("")
@@ -107,7 +108,7 @@
 	return serveUntil(ctx, address, router)
 }
 
-// serveReady answers readiness questions until the context ends.
+// serveReady serves readiness probes at path until the context ends.
 func serveReady(ctx context.Context, address, path string, ready func() bool) error {
 	router := httprouter.New()
 	router.GET(path, func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -21,7 +21,8 @@
 	"swiftbank.dev/swiftbank/platform"
 )
 
-// stopReserve is kept of the grace of a planned stop for the end of the process.
+// stopReserve is the part of a planned stop's grace period that is reserved for the exit of the
+// process after the requests have drained.
 const stopReserve = 600 * time.Millisecond
 
 func newGatewayCommand() *cobra.Command {
@@ -49,22 +50,23 @@
 	return command
 }
 
-// runGateway runs until ctx ends and the requests in progress have.
+// runGateway runs a gateway until ctx ends and the requests in progress have finished.
 func runGateway(ctx context.Context, config settings.Gateway, flags fleetFlags) error {
 	process := newProcess(config.Member)
 	defer process.close()
-	// The sources, the replicas and the readiness answer live until the last request ended.
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	// The feed, the replica connections and the readiness endpoint stay up until the last request
+	// has finished.
+	servingCtx, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
 	metrics := gateway.NewMetrics(config.Node)
 	directory := backend.NewDirectory(config.Zone)
 	directory.SetSeed(config.Node)
 	directory.UsePlaces(config.Places())
-	replicas := quorum.NewCells(life, config.Node, config.Zone, config.Places(), process.log)
-	relays := quorum.NewRelays(life, config.Node, config.Zone, config.Places(), process.log, metrics.Relayed)
+	replicas := quorum.NewCells(servingCtx, config.Node, config.Zone, config.Places(), process.log)
+	relays := quorum.NewRelays(servingCtx, config.Node, config.Zone, config.Places(), process.log, metrics.Relayed)
 	replicas.UseRelays(relays)
-	sent := traffic.NewCounter(config.Node, config.Zone, config.Places(), metrics.Registry)
-	replicas.CountTraffic(sent)
+	sentBytes := traffic.NewCounter(config.Node, config.Zone, config.Places(), metrics.Registry)
+	replicas.CountTraffic(sentBytes)
 	server := gateway.New(gateway.Options{
 		Node: config.Node, Zone: config.Zone, Dialect: platform.Dialect(), Directory: directory, Replicas: replicas,
 		Log: process.log, Metrics: metrics, Copies: config.TolerateMachines + 1,
@@ -78,7 +80,7 @@
 		FairShares:       config.FairShares,
 		ColdStarts:       coldstart.Policy{Overage: config.ColdOverage, Slack: config.ColdSlack},
 	})
-	gossip := gateway.NewGossip(config.Node, config.Zone, config.Places(), directory, sent)
+	gossip := gateway.NewGossip(config.Node, config.Zone, config.Places(), directory, sentBytes)
 	gossip.AddSection(server.ProgramSection())
 	if config.ProgramAdmission {
 		gossip.EnableLearnedCache(process.log)
@@ -90,11 +92,11 @@
 		gossip.AddSection(server.ShareSection())
 	}
 	store := platform.NewStore(config.StoreAddress, metrics.StoreCall, process.storeCallFailed)
-	knowledge := feed.NewNode(feed.Options{
+	feedNode := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleGateway, Seeds: config.Seeds, FirstStart: config.FirstStart, Store: store,
-		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
+		Metrics: metrics, Traffic: sentBytes, Log: process.log, StoreCallFailed: process.storeCallFailed,
 		Evacuations:       config.EvacuationLimit > 0,
-		StoreStateChanged: func(err error) { process.contact("store", err) },
+		StoreStateChanged: func(err error) { process.logDependency("store", err) },
 		Handlers: feed.Handlers{
 			Status: server.FeedStatusChanged, Configuration: server.ConfigurationChanged, Instances: server.InstancesChanged,
 			Evacuations: server.EvacuationsChanged,
@@ -104,34 +106,36 @@
 	process.log.Info().Str("event", "start").Str("role", "gateway").Str("zone", config.Zone).
 		Str("callers", config.CallerAddress).Str("store", config.StoreAddress).
 		Bool("load_control", platform.RequiresLoadControl(config.Guarantees)).Msg("")
-	var running conc.WaitGroup
-	running.Go(func() { knowledge.Run(life) })
-	running.Go(func() { process.failing("gossip", gossip.Run(life, config.PeerAddress)) })
-	running.Go(func() { process.failing("relaying", replicas.ServeRelays(life, config.PeerAddress)) })
-	running.Go(func() { process.failing("metrics", serveMetrics(life, config.MetricsAddress, metrics.Registry)) })
-	running.Go(func() {
-		process.failing("readiness", serveReady(life, config.ReadyAddress, platform.Dialect().ReadyPath, server.Ready))
+	var tasks conc.WaitGroup
+	tasks.Go(func() { feedNode.Run(servingCtx) })
+	tasks.Go(func() { process.logFailure("gossip", gossip.Run(servingCtx, config.PeerAddress)) })
+	tasks.Go(func() { process.logFailure("relaying", replicas.ServeRelays(servingCtx, config.PeerAddress)) })
+	tasks.Go(func() {
+		process.logFailure("metrics", serveMetrics(servingCtx, config.MetricsAddress, metrics.Registry))
 	})
-	running.Go(func() {
-		process.watchReload(life, func() (settings.Member, error) {
-			fresh, err := settings.LoadGateway(flags.settingsFile, flags.overrides)
-			return fresh.Member, err
+	tasks.Go(func() {
+		process.logFailure("readiness", serveReady(servingCtx, config.ReadyAddress, platform.Dialect().ReadyPath, server.Ready))
+	})
+	tasks.Go(func() {
+		process.watchReload(servingCtx, func() (settings.Member, error) {
+			reloaded, err := settings.LoadGateway(flags.settingsFile, flags.overrides)
+			return reloaded.Member, err
 		})
 	})
-	running.Go(func() {
+	tasks.Go(func() {
 		node := replicaset.Node{Name: config.Node, Role: replicaset.RoleGateway, Address: config.Advertised(), Zone: config.Zone}
-		knowledge.AwaitMembers(life)
-		replicaset.Register(life, store, node, knowledge.Member, func(err error) { process.storeCallFailed("register", err) })
+		feedNode.AwaitMembers(servingCtx)
+		replicaset.Register(servingCtx, store, node, feedNode.Member, func(err error) { process.storeCallFailed("register", err) })
 	})
 	err := server.Serve(ctx, config.CallerAddress, config.Grace-stopReserve)
-	end()
+	stopServing()
 	process.log.Info().Str("event", "stop").Str("role", "gateway").AnErr("error", err).Msg("")
 	return err
 }
 
-// failing logs the end of a part that should run on.
-func (p *process) failing(part string, err error) {
+// logFailure logs that a component, which should run until shutdown, ended with an error.
+func (p *process) logFailure(component string, err error) {
 	if err != nil {
-		p.log.Error().Str("event", "part_failed").Str("part", part).Err(err).Msg("")
+		p.log.Error().Str("event", "part_failed").Str("part", component).Err(err).Msg("")
 	}
 }
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -31,14 +31,14 @@
 		if err != nil {
 			return exitWith(ExitFailure, err)
 		}
-		chosen := choose(current, arguments)
-		if len(arguments) == 2 && len(chosen) == 0 {
+		selected := selectStored(current, arguments)
+		if len(arguments) == 2 && len(selected) == 0 {
 			return exitWith(ExitFailure, fmt.Errorf("%s/%s is not in force", arguments[0], arguments[1]))
 		}
 		if *format == "json" {
-			return printJSON(command.OutOrStdout(), chosen)
+			return printJSON(command.OutOrStdout(), selected)
 		}
-		for _, stored := range chosen {
+		for _, stored := range selected {
 			fmt.Fprintf(command.OutOrStdout(), "%s\trevision %d\n", stored.Object.Reference, stored.Revision)
 		}
 		return nil
@@ -46,8 +46,8 @@
 	return command
 }
 
-func choose(current *catalogue.Catalogue, arguments []string) []catalogue.Stored {
-	chosen := []catalogue.Stored{}
+func selectStored(current *catalogue.Catalogue, arguments []string) []catalogue.Stored {
+	selected := []catalogue.Stored{}
 	for _, stored := range current.All() {
 		reference := stored.Object.Reference
 		if len(arguments) > 0 && reference.Kind != declaration.Kind(arguments[0]) {
@@ -56,7 +56,7 @@
 		if len(arguments) > 1 && reference.Name != arguments[1] {
 			continue
 		}
-		chosen = append(chosen, stored)
+		selected = append(selected, stored)
 	}
-	return chosen
+	return selected
 }
--- a/internal/command/history.go
+++ b/internal/command/history.go
@@ -11,7 +11,7 @@
 	"swiftbank.dev/swiftbank/internal/objectapi"
 )
 
-// maxHistory bounds what one call prints.
+// maxHistory is the maximum number of change sets that one call prints.
 const maxHistory = 1000
 
 func newHistoryCommand() *cobra.Command {
--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -16,16 +16,16 @@
 
 // loadFlags are the flags of load.
 type loadFlags struct {
-	nodes    []string
-	keys     []string
-	trace    string
-	rate     float64
-	duration time.Duration
-	tenant   string
-	template string
-	turns    int
-	seed     uint64
-	timeout  time.Duration
+	nodes      []string
+	keys       []string
+	trace      string
+	rate       float64
+	duration   time.Duration
+	tenant     string
+	template   string
+	turns      int
+	seed       uint64
+	tryTimeout time.Duration
 }
 
 func newLoadCommand() *cobra.Command {
@@ -41,14 +41,14 @@
 	set := command.Flags()
 	set.StringSliceVar(&flags.nodes, "nodes", nil, "caller addresses of the nodes (required)")
 	set.StringArrayVar(&flags.keys, "key", nil, "tenant=API key; may be repeated")
-	set.StringVar(&flags.trace, "trace", "", "trace file of programs; without it programs are drawn at --rate")
-	set.Float64Var(&flags.rate, "rate", 10, "programs begun a second, on average, whether or not earlier ones have ended")
+	set.StringVar(&flags.trace, "trace", "", "trace file of programs; without it programs are generated at --rate")
+	set.Float64Var(&flags.rate, "rate", 10, "mean number of programs started per second, independent of when earlier ones end")
 	set.DurationVar(&flags.duration, "duration", 10*time.Second, "time during which programs begin")
-	set.StringVar(&flags.tenant, "tenant", "coop-riga", "tenant of drawn programs")
-	set.StringVar(&flags.template, "template", "rider-assistant", "template of drawn programs")
-	set.IntVar(&flags.turns, "turns", 3, "engine calls of drawn programs")
-	set.Uint64Var(&flags.seed, "seed", 1, "seed of drawn programs")
-	set.DurationVar(&flags.timeout, "try-timeout", 0, "wait so long at one node before asking another; 0 means as long as it takes")
+	set.StringVar(&flags.tenant, "tenant", "coop-riga", "tenant of generated programs")
+	set.StringVar(&flags.template, "template", "rider-assistant", "template of generated programs")
+	set.IntVar(&flags.turns, "turns", 3, "engine calls per generated program")
+	set.Uint64Var(&flags.seed, "seed", 1, "seed of generated programs")
+	set.DurationVar(&flags.tryTimeout, "try-timeout", 0, "maximum wait for one node before trying another; 0 means no limit")
 	_ = command.MarkFlagRequired("nodes")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		if err := checkOutput(*format); err != nil {
@@ -85,7 +85,7 @@
 		keys[tenant] = key
 	}
 	if f.trace == "" {
-		programs, err := f.draw()
+		programs, err := f.generatePrograms()
 		return programs, keys, err
 	}
 	file, err := os.Open(f.trace)
@@ -97,23 +97,23 @@
 	return programs, keys, err
 }
 
-// draw makes programs that begin as a Poisson process.
-func (f *loadFlags) draw() ([]program.Program, error) {
+// generatePrograms returns programs that start as a Poisson process with the given rate.
+func (f *loadFlags) generatePrograms() ([]program.Program, error) {
 	if f.rate <= 0 || f.turns <= 0 {
 		return nil, errors.New("--rate and --turns must be positive")
 	}
 	random := rand.New(rand.NewPCG(f.seed, 1))
 	var programs []program.Program
-	for at := time.Duration(0); at < f.duration; {
+	for start := time.Duration(0); start < f.duration; {
 		name := fmt.Sprintf("load-%d-%d-%d", f.seed, time.Now().UnixNano(), len(programs))
-		drawn := program.Program{Name: name, Session: name, StartMs: at.Milliseconds(), Tenant: f.tenant, Template: f.template}
+		generated := program.Program{Name: name, Session: name, StartMs: start.Milliseconds(), Tenant: f.tenant, Template: f.template}
 		for turn := range f.turns {
-			drawn.Steps = append(drawn.Steps, program.Step{
+			generated.Steps = append(generated.Steps, program.Step{
 				Kind: program.StepEngine, Prompt: fmt.Sprintf("Turn %d of %s.", turn, name), MaxTokens: 64, Stream: true,
 			})
 		}
-		programs = append(programs, drawn)
-		at += time.Duration(random.ExpFloat64() / f.rate * float64(time.Second))
+		programs = append(programs, generated)
+		start += time.Duration(random.ExpFloat64() / f.rate * float64(time.Second))
 	}
 	return programs, nil
 }
@@ -122,7 +122,7 @@
 	client := program.NewClient(f.nodes)
 	defer client.Close()
 	errOut := command.ErrOrStderr()
-	runner := &program.Runner{Client: client, Keys: keys, TryTimeout: f.timeout, Progress: func(done, total int) {
+	runner := &program.Runner{Client: client, Keys: keys, TryTimeout: f.tryTimeout, Progress: func(done, total int) {
 		fmt.Fprintf(errOut, "\rprograms %d of %d", done, total)
 	}}
 	ctx, cancel := context.WithCancel(command.Context())
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -22,7 +22,7 @@
 		Args:    cobra.NoArgs,
 	}
 	command.Flags().StringVar(&settingsFile, "settings", "", "settings file of the node (required)")
-	command.Flags().StringArrayVar(&overrides, "set", nil, "key=value that goes over the settings file; may be repeated")
+	command.Flags().StringArrayVar(&overrides, "set", nil, "key=value that overrides the settings file; may be repeated")
 	_ = command.MarkFlagRequired("settings")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		config, err := settings.Load(settingsFile, overrides)
--- a/internal/command/pressure.go
+++ b/internal/command/pressure.go
@@ -13,7 +13,7 @@
 	"swiftbank.dev/swiftbank/internal/loadstatus"
 )
 
-// loadControlMetrics are the beginnings of the names of the metrics of load control.
+// loadControlMetrics are the name prefixes of the load control metrics.
 var loadControlMetrics = []string{
 	"swiftbank_program_", "swiftbank_limit_", "swiftbank_tenant_", "swiftbank_instance_", "swiftbank_missing_prompt_",
 	"swiftbank_held_", "swiftbank_memory_",
@@ -24,9 +24,9 @@
 func newPressureCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "pressure METRICS-ADDRESS...",
-		Short: "Print from gateways' metrics what room there is, who waits and who is refused, and why",
-		Long: "Reads the metrics of gateways and prints each figure of load control summed over them, with the\n" +
-			"least and the most of single gateways; histograms are left out. Exits with 1 when a gateway did not answer.",
+		Short: "Print capacity, waiting requests and refusals, with reasons, from gateways' metrics",
+		Long: "Reads the metrics of gateways and prints each load control metric summed over them, with the\n" +
+			"minimum and maximum of single gateways; histograms are left out. Exits with 1 when a gateway did not answer.",
 		Example: "  swiftbank pressure 10.1.0.19:9100 10.1.0.20:9100",
 		Args:    cobra.MinimumNArgs(1),
 	}
@@ -36,20 +36,20 @@
 			return err
 		}
 		status := loadstatus.New(loadControlMetrics)
-		unanswered := 0
+		failedGateways := 0
 		for _, address := range addresses {
 			if err := readMetrics(command.Context(), status, address); err != nil {
 				fmt.Fprintf(command.ErrOrStderr(), "%s: %s\n", address, err)
-				unanswered++
+				failedGateways++
 			}
 		}
-		if unanswered == len(addresses) {
+		if failedGateways == len(addresses) {
 			return exitWith(ExitFailure, errNoGatewayAnswered)
 		}
 		if err := printPressure(command.OutOrStdout(), status.Rows(), *output); err != nil {
 			return err
 		}
-		if unanswered > 0 {
+		if failedGateways > 0 {
 			return exitWith(ExitFailure, errSilent)
 		}
 		return nil
--- a/internal/command/record.go
+++ b/internal/command/record.go
@@ -20,8 +20,8 @@
 		Args:    cobra.ExactArgs(1),
 	}
 	flags.add(command)
-	command.Flags().StringVar(&outcomesFile, "outcomes", "", "also write the outcomes that the run shows")
-	command.Flags().StringVar(&why, "why", "", "which failure the trace is kept for")
+	command.Flags().StringVar(&outcomesFile, "outcomes", "", "also write the outcomes of the run to this file")
+	command.Flags().StringVar(&why, "why", "", "the failure that the trace reproduces")
 	command.RunE = func(_ *cobra.Command, arguments []string) error {
 		options, seeds, err := flags.parse()
 		if err != nil {
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -14,12 +14,12 @@
 	var expect string
 	command := &cobra.Command{
 		Use:     "replay TRACE",
-		Short:   "Play a recorded run again and compare with stated outcomes; exit code 1 on a difference",
+		Short:   "Replay a recorded run and compare it with the expected outcomes; exit code 1 on a difference",
 		Example: "  swiftbank replay testdata/traces/stale-routing.jsonl --expect testdata/traces/stale-routing.json",
 		Args:    cobra.ExactArgs(1),
 	}
 	format := outputFlag(command)
-	command.Flags().StringVar(&expect, "expect", "", "file of stated outcomes (required)")
+	command.Flags().StringVar(&expect, "expect", "", "file of expected outcomes (required)")
 	_ = command.MarkFlagRequired("expect")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		if err := checkOutput(*format); err != nil {
@@ -48,7 +48,7 @@
 	return command
 }
 
-// replayFile plays a trace file and returns the differences from the outcomes file.
+// replayFile replays a trace file and returns the differences from the outcomes file.
 func replayFile(tracePath, outcomesPath string) ([]string, error) {
 	file, err := os.Open(tracePath)
 	if err != nil {
--- a/internal/command/replica.go
+++ b/internal/command/replica.go
@@ -45,110 +45,111 @@
 	return command
 }
 
-// runReplica runs until ctx ends. Nothing acknowledged waits for a planned stop.
+// runReplica runs a replica until ctx ends. A planned stop has nothing to flush: acknowledged
+// writes are already durable.
 func runReplica(ctx context.Context, config settings.Replica, flags fleetFlags) error {
 	process := newProcess(config.Member)
 	defer process.close()
 	metrics := replica.NewMetrics(config.Node)
-	sent := traffic.NewCounter(config.Node, config.Zone, config.Places(), metrics.Registry)
+	sentBytes := traffic.NewCounter(config.Node, config.Zone, config.Places(), metrics.Registry)
 	store := platform.NewStore(config.StoreAddress, metrics.StoreCall, process.storeCallFailed)
 	starting := &startingReplica{}
-	knowledge := feed.NewNode(feed.Options{
+	feedNode := feed.NewNode(feed.Options{
 		Node: config.Node, Zone: config.Zone, Places: config.Places(), Role: replicaset.RoleReplica, Store: store,
-		Metrics: metrics, Traffic: sent, Log: process.log, StoreCallFailed: process.storeCallFailed,
+		Metrics: metrics, Traffic: sentBytes, Log: process.log, StoreCallFailed: process.storeCallFailed,
 		Evacuations:       config.EvacuationLimit > 0,
-		StoreStateChanged: func(err error) { process.contact("store", err) },
+		StoreStateChanged: func(err error) { process.logDependency("store", err) },
 		Handlers: feed.Handlers{
-			Status: starting.knowledgeChanged, Members: starting.membersChanged, Retirements: starting.retirementsChanged, Configuration: starting.configurationChanged,
+			Status: starting.statusChanged, Members: starting.membersChanged, Retirements: starting.retirementsChanged, Configuration: starting.configurationChanged,
 		},
 	})
-	copied := feed.NewCopyFile(config.DataFolder, process.log)
-	knowledge.Load(copied.Load())
-	var running conc.WaitGroup
+	copyFile := feed.NewCopyFile(config.DataFolder, process.log)
+	feedNode.Load(copyFile.Load())
+	var tasks conc.WaitGroup
 	if config.CopyAddress != "" {
-		running.Go(func() { process.failing("feed", knowledge.Serve(ctx, config.CopyAddress)) })
+		tasks.Go(func() { process.logFailure("feed", feedNode.Serve(ctx, config.CopyAddress)) })
 	}
-	running.Go(func() { knowledge.Run(ctx) })
+	tasks.Go(func() { feedNode.Run(ctx) })
 	server, err := replica.New(replica.Options{
 		Node: config.Node, Zone: config.Zone, Address: config.PeerAddress, Advertised: config.Advertised(), Feed: config.CopyAddress,
 		DataFolder: config.DataFolder, DiskMB: config.DiskMB, MemoryMB: config.MemoryMB, Tolerate: config.TolerateMachines,
 		Places: config.CellPlaces(), Registry: store,
-		Known: knowledge.Member, Retirements: store, Log: process.log, Metrics: metrics, Traffic: sent, Quota: config.Quota(),
+		Known: feedNode.Member, Retirements: store, Log: process.log, Metrics: metrics, Traffic: sentBytes, Quota: config.Quota(),
 	})
 	if err != nil {
 		process.log.Error().Str("event", "start_failed").Err(err).Msg("")
 		return err
 	}
-	starting.started(server)
-	running.Go(func() { copied.Run(ctx, knowledge) })
-	running.Go(func() {
-		process.failing("learned", learned.NewCache().Serve(ctx, config.PeerAddress, process.log, sent))
+	starting.setServer(server)
+	tasks.Go(func() { copyFile.Run(ctx, feedNode) })
+	tasks.Go(func() {
+		process.logFailure("learned", learned.NewCache().Serve(ctx, config.PeerAddress, process.log, sentBytes))
 	})
-	running.Go(func() { process.failing("metrics", serveMetrics(ctx, config.MetricsAddress, metrics.Registry)) })
-	running.Go(func() {
+	tasks.Go(func() { process.logFailure("metrics", serveMetrics(ctx, config.MetricsAddress, metrics.Registry)) })
+	tasks.Go(func() {
 		process.watchReload(ctx, func() (settings.Member, error) {
-			fresh, err := settings.LoadReplica(flags.settingsFile, flags.overrides)
-			return fresh.Member, err
+			reloaded, err := settings.LoadReplica(flags.settingsFile, flags.overrides)
+			return reloaded.Member, err
 		})
 	})
 	return server.Run(ctx)
 }
 
-// startingReplica keeps what the feed tells until the replica has read its log: what others
-// learn from this process does not wait for that.
+// startingReplica buffers the feed's updates until the replica has read its log. The feed runs
+// before that, so that processes that read it from this one do not wait for the log.
 type startingReplica struct {
 	mu     sync.Mutex
 	server *replica.Server
-	// waiting holds the newest news of each kind.
-	waiting [kindsOfNews]func(*replica.Server)
+	// pending holds the latest update of each kind.
+	pending [updateKindCount]func(*replica.Server)
 }
 
-// newsKind is a kind of news for a replica.
-type newsKind uint8
+// updateKind is a kind of update from the feed to a replica.
+type updateKind uint8
 
 const (
-	newsOfMembers newsKind = iota
-	newsOfRetirements
-	newsOfConfiguration
-	newsOfFreshness
-	kindsOfNews
+	membersUpdate updateKind = iota
+	retirementsUpdate
+	configurationUpdate
+	statusUpdate
+	updateKindCount
 )
 
-// tell hands news over, now or once the replica has started.
-func (s *startingReplica) tell(kind newsKind, news func(*replica.Server)) {
+// deliver passes an update to the replica, now or once it has started.
+func (s *startingReplica) deliver(kind updateKind, update func(*replica.Server)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server == nil {
-		s.waiting[kind] = news
+		s.pending[kind] = update
 		return
 	}
-	news(s.server)
+	update(s.server)
 }
 
-// started hands over what was told so far.
-func (s *startingReplica) started(server *replica.Server) {
+// setServer sets the started replica and delivers the pending updates to it.
+func (s *startingReplica) setServer(server *replica.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.server = server
-	for _, news := range s.waiting {
-		if news != nil {
-			news(server)
+	for _, update := range s.pending {
+		if update != nil {
+			update(server)
 		}
 	}
 }
 
 func (s *startingReplica) membersChanged(objects []registry.Object) {
-	s.tell(newsOfMembers, func(server *replica.Server) { server.MembersChanged(objects) })
+	s.deliver(membersUpdate, func(server *replica.Server) { server.MembersChanged(objects) })
 }
 
 func (s *startingReplica) retirementsChanged(states map[string]feed.RetirementState) {
-	s.tell(newsOfRetirements, func(server *replica.Server) { server.RetirementsChanged(states) })
+	s.deliver(retirementsUpdate, func(server *replica.Server) { server.RetirementsChanged(states) })
 }
 
 func (s *startingReplica) configurationChanged(table *route.Table) {
-	s.tell(newsOfConfiguration, func(server *replica.Server) { server.ConfigurationChanged(table) })
+	s.deliver(configurationUpdate, func(server *replica.Server) { server.ConfigurationChanged(table) })
 }
 
-func (s *startingReplica) knowledgeChanged(status feed.Status) {
-	s.tell(newsOfFreshness, func(server *replica.Server) { server.KnowledgeChanged(status) })
+func (s *startingReplica) statusChanged(status feed.Status) {
+	s.deliver(statusUpdate, func(server *replica.Server) { server.KnowledgeChanged(status) })
 }
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,4 +1,4 @@
-// Package command is the command line: one file for each verb.
+// Package command implements the command line, one file per subcommand.
 package command
 
 import (
@@ -16,12 +16,12 @@
 // The exit codes of all commands.
 const (
 	ExitSuccess = 0
-	// ExitFailure means that the command could not do its work, or that a run it
-	// made showed a fault.
+	// ExitFailure means that the command failed, or that a run it performed found a
+	// violation.
 	ExitFailure = 1
-	// ExitUsage means that the command line or the settings were wrong.
+	// ExitUsage means that the command line or the settings are invalid.
 	ExitUsage = 2
-	// ExitFaults means that declarations have faults.
+	// ExitFaults means that declarations are invalid.
 	ExitFaults = 3
 	// ExitConflict means that another operator changed the same objects first.
 	ExitConflict = 4
@@ -40,11 +40,12 @@
 
 func exitWith(code int, err error) error { return &exitError{code: code, err: err} }
 
-// silentError ends a command whose output already says everything.
+// errSilent sets the exit code without printing a message, for commands whose output already
+// reports the failure.
 var errSilent = errors.New("")
 
-// servesUntilStopped marks commands to which a SIGHUP means to read the settings again; it
-// ends the others.
+// servesUntilStopped annotates long-running commands, which reload their settings on SIGHUP. All
+// other commands are terminated by it.
 const servesUntilStopped = "serves until stopped"
 
 // Run executes the command line and returns the exit code.
@@ -88,7 +89,7 @@
 	return root
 }
 
-// outputFlag adds -o and returns its value.
+// outputFlag adds the flag --output (-o) and returns a pointer to its value.
 func outputFlag(command *cobra.Command) *string {
 	return command.Flags().StringP("output", "o", "text", "output format: text or json")
 }
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// checkOutput refuses unknown output formats.
+// checkOutput returns a usage error for an unknown output format.
 func checkOutput(format string) error {
 	if format != "text" && format != "json" {
 		return exitWith(ExitUsage, fmt.Errorf("--output %q: write text or json", format))
--- a/internal/command/simulate.go
+++ b/internal/command/simulate.go
@@ -68,7 +68,7 @@
 	return command
 }
 
-// add adds the flags that describe a run.
+// add registers the flags that describe a run.
 func (f *simulateFlags) add(command *cobra.Command) {
 	set := command.Flags()
 	set.StringVar(&f.deployment, "deployment", "riga", "riga, luzon or scale")
@@ -79,7 +79,7 @@
 	set.Float64Var(&f.load, "load", 0.2, "offered work as a share of the engines' capacity")
 	set.IntVar(&f.nodes, "nodes", 0, "number of nodes, instead of the deployment's")
 	set.IntVar(&f.engines, "engines", 0, "number of engines, instead of the deployment's")
-	set.IntVar(&f.programs, "programs", 0, "begin at most so many programs")
+	set.IntVar(&f.programs, "programs", 0, "maximum number of programs to start")
 	set.IntVar(&f.tenants, "tenants", 0, "number of tenants, instead of the deployment's")
 }
 
@@ -102,7 +102,8 @@
 	}, seeds, nil
 }
 
-// openEvents opens the file for the event log, if one is wanted.
+// openEvents opens the file for the event log if --events is set, and returns a function that
+// flushes and closes it.
 func (f *simulateFlags) openEvents(options *simulate.Options, seeds []uint64) (func(), error) {
 	if f.events == "" {
 		return func() {}, nil
@@ -122,7 +123,7 @@
 	}, nil
 }
 
-// parseSeeds reads "7", "1-200" or "1,5,9".
+// parseSeeds parses seeds such as "7", "1-200" or "1,5,9".
 func parseSeeds(text string) ([]uint64, error) {
 	var seeds []uint64
 	for _, part := range strings.Split(text, ",") {
@@ -145,20 +146,20 @@
 	return seeds, nil
 }
 
-// runSeeds runs each seed once, on all processors; runs do not affect each other.
+// runSeeds runs each seed once, in parallel on all processors. Runs are independent.
 func runSeeds(options simulate.Options, seeds []uint64) ([]*simulate.Report, error) {
 	reports := make([]*simulate.Report, len(seeds))
 	var mu sync.Mutex
 	var failure error
 	workers := pool.New().WithMaxGoroutines(runtime.GOMAXPROCS(0))
-	for place, seed := range seeds {
+	for i, seed := range seeds {
 		workers.Go(func() {
-			own := options
-			own.Seed = seed
-			report, err := simulate.Run(own)
+			seedOptions := options
+			seedOptions.Seed = seed
+			report, err := simulate.Run(seedOptions)
 			mu.Lock()
 			defer mu.Unlock()
-			reports[place] = report
+			reports[i] = report
 			if err != nil {
 				failure = err
 			}
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -19,15 +19,15 @@
 func newTimelineCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "timeline [LOG...]",
-		Short: "Sum up from the logs of gateways who was served, refused and late, and when",
-		Long: "Reads log files of gateways, or standard input, and prints for each span of time what became\n" +
-			"of the requests, by route, zone or tenant: how many were answered, refused and failed, how\n" +
-			"many came for programs that had no time left, and how long answers took.",
+		Short: "Summarize gateways' logs: which requests were answered, refused or late, and when",
+		Long: "Reads log files of gateways, or standard input, and prints the outcomes of the requests\n" +
+			"for each span of time, by route, zone or tenant: how many were answered, refused and failed,\n" +
+			"how many arrived after their program's deadline, and the latency of answers.",
 		Example: "  swiftbank timeline --by zone --span 2s gateway-*.log",
 	}
 	output := outputFlag(command)
 	span := command.Flags().Duration("span", defaultSpan, "time that one row covers")
-	by := command.Flags().String("by", string(timeline.ByRoute), "what requests are told apart by: route, zone or tenant")
+	by := command.Flags().String("by", string(timeline.ByRoute), "group requests by route, zone or tenant")
 	command.RunE = func(command *cobra.Command, files []string) error {
 		if err := checkOutput(*output); err != nil {
 			return err
@@ -60,7 +60,7 @@
 	}
 }
 
-// reasonList returns the reasons with their counts in the order of their names.
+// reasonList returns the reasons with their counts, sorted by name.
 func reasonList(reasons map[string]int) string {
 	var listed []string
 	for _, name := range slices.Sorted(maps.Keys(reasons)) {
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Version is the product's version; CHANGELOG.md tells what is in it.
+// Version is the product's version. CHANGELOG.md lists its changes.
 const Version = "0.9.2"
 
 func newVersionCommand() *cobra.Command {
--- a/internal/command/version_test.go
+++ b/internal/command/version_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator who reads the version must find it in the changelog.
-func TestTheVersionIsTheNewestOfTheChangelog(t *testing.T) {
+// The version that operators see must have an entry in the changelog.
+func TestVersionIsNewestInChangelog(t *testing.T) {
 	changelog, err := os.ReadFile("../../CHANGELOG.md")
 	require.NoError(t, err)
 	newest := regexp.MustCompile(`(?m)^## (\S+)$`).FindSubmatch(changelog)
--- a/internal/command/vocabulary_test.go
+++ b/internal/command/vocabulary_test.go
@@ -18,7 +18,7 @@
 	"swiftbank.dev/swiftbank/internal/replica"
 )
 
-// operationsPage is where on-call engineers look a name up.
+// operationsPage documents log events, log fields and metrics for on-call engineers.
 const operationsPage = "../../docs/OPERATIONS.md"
 
 // fieldMethods are the logger's methods that write a named field.
@@ -26,7 +26,7 @@
 	"Str": true, "Strs": true, "Int": true, "Int64": true, "Uint64": true, "Float64": true, "Bool": true, "Dur": true, "AnErr": true,
 }
 
-// loggedNames returns the events and fields that the processes on the platform write.
+// loggedNames returns the events and fields that gateways and replicas log.
 func loggedNames(t *testing.T) (events, fields map[string]bool) {
 	events, fields = map[string]bool{}, map[string]bool{}
 	folders := []string{"../gateway", "../quorum", "../replica", "../feed", "../eventlog", "../learned", "../../platform"}
@@ -50,7 +50,7 @@
 	return events, fields
 }
 
-// collectLogged notes a call of the logger that writes a field.
+// collectLogged records the event or field name of a logger call.
 func collectLogged(node ast.Node, events, fields map[string]bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall || len(call.Args) != 2 {
@@ -102,9 +102,9 @@
 	return names
 }
 
-func TestTheLogsVocabularyIsOnThePage(t *testing.T) {
+func TestLogVocabularyIsDocumented(t *testing.T) {
 	events, fields := loggedNames(t)
-	events["log_dropped"] = true // written by the queue itself
+	events["log_dropped"] = true // written by the log queue itself
 	for _, name := range []string{"time", "level", "node", "event", "lines", "error"} {
 		fields[name] = true // on every line, of log_dropped, and of Err
 	}
@@ -127,11 +127,11 @@
 	return names
 }
 
-func TestAlertsNameMetricsThatAreServed(t *testing.T) {
+func TestAlertsNameServedMetrics(t *testing.T) {
 	gateways, replicas := gateway.NewMetrics("n"), replica.NewMetrics("n")
 	gateways.StoreCall("GET", 200)
 	served := append(metricNames(t, gateways.Registry), metricNames(t, replicas.Registry)...)
-	// A counter by labels serves nothing before it counted once.
+	// A counter vector exports nothing before its first increment.
 	served = append(served, "swiftbank_requests_total")
 	alerts := regexp.MustCompile(`swiftbank_[a-z_]+`).FindAllString(section(t, "### Alerts worth having"), -1)
 	require.NotEmpty(t, alerts)
