--- a/cmd/swiftbank-standin/main.go
+++ b/cmd/swiftbank-standin/main.go
@@ -1,5 +1,5 @@
-// Command swiftbank-standin runs one stand-in for a system outside the product:
-// the platform, an engine, an application or a tool. It is for trials and tests.
+// Command swiftbank-standin runs a stand-in for one external system: the platform, an engine,
+// an application or a tool. It is meant for trials and tests.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"swiftbank.dev/swiftbank/internal/wait"
 )
 
-// registerInterval is how often a stand-in tries to register with the platform.
+// registerInterval is the delay between attempts to register with the platform.
 const registerInterval = 200 * time.Millisecond
 
 func main() {
@@ -104,7 +104,8 @@
 	return command
 }
 
-// serve runs a back end: it registers, and says that it leaves when told to stop.
+// serve runs a back end. It registers the machine with the platform and, once ctx ends, marks it
+// as leaving.
 func (f *machineFlags) serve(ctx context.Context, handler http.Handler) error {
 	address, stop, err := standin.Listen(f.address, handler)
 	if err != nil {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// register writes the machine's line in the platform's list.
+// register writes the machine's entry in the platform's machine list.
 func register(ctx context.Context, platform string, machine objectapi.Machine) error {
 	body, err := json.Marshal(machine)
 	if err != nil {
--- a/cmd/swiftbank/main.go
+++ b/cmd/swiftbank/main.go
@@ -1,4 +1,4 @@
-// Command swiftbank runs a node and is the operators' tool.
+// Command swiftbank runs the product's processes and provides the operators' commands.
 package main
 
 import (
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is what the product needs of a shared, linearizable store of
-// small objects: the list of its own nodes and the membership of the replica set.
-// The platform's store implements it; tests use the one in memory.
+// Package registry defines the interface of a shared, linearizable store of small objects,
+// which holds the list of the product's nodes and the membership of the replica set. The
+// platform's store implements it; tests use an implementation in memory.
 package registry
 
 import (
@@ -8,27 +8,27 @@
 	"errors"
 )
 
-// ErrConflict says that the object is not at the expected revision. The caller
-// reads it again and decides anew.
+// ErrConflict is returned if the object is not at the expected revision. The caller must read
+// it again and decide on the new state.
 var ErrConflict = errors.New("registry: the object has another revision")
 
-// ErrNotFound says that there is no such object.
+// ErrNotFound is returned if the object does not exist.
 var ErrNotFound = errors.New("registry: no such object")
 
 // Object is one stored object.
 type Object struct {
 	Name string
-	// Revision rises with every change; it is the condition of a Replace.
+	// Revision increases with every change and is the precondition of Replace.
 	Revision uint64
 	Value    []byte
 }
 
-// Registry is a linearizable store of objects. Any error other than ErrConflict
-// and ErrNotFound leaves open whether a write took effect, now or seconds later.
+// Registry is a linearizable store of objects. After any error other than ErrConflict and
+// ErrNotFound, a write may have taken effect or may still do so seconds later.
 type Registry interface {
 	Get(ctx context.Context, name string) (Object, error)
-	// Create makes an object that must not exist.
+	// Create stores a new object. It returns ErrConflict if the object exists.
 	Create(ctx context.Context, name string, value []byte) error
-	// Replace changes an object that must be at the given revision.
+	// Replace updates an object if it is at the given revision, else returns ErrConflict.
 	Replace(ctx context.Context, name string, value []byte, revision uint64) error
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says whether a request may have run. Every error that can
-// reach a caller carries a Verdict, so that the caller knows whether asking
-// again could run the request twice.
+// Package verdict defines the errors that callers receive. Each carries a Verdict, which
+// states whether the request may have run, so that the caller knows whether a retry could
+// run it twice.
 package verdict
 
 import (
@@ -12,9 +12,9 @@
 type Verdict uint8
 
 const (
-	// NotRun means that no back end began the request and none ever will.
+	// NotRun means that no back end has started the request and none ever will.
 	NotRun Verdict = iota + 1
-	// MayHaveRun means that the request left for a back end and its outcome is unknown.
+	// MayHaveRun means that the request was sent to a back end and its outcome is unknown.
 	MayHaveRun
 	// Ran means that a back end ran the request and its outcome is recorded.
 	Ran
@@ -37,7 +37,7 @@
 // Code names the reason of a refusal or failure. Codes are part of the HTTP API.
 type Code string
 
-// The codes a caller can meet. docs/API.md lists them with their HTTP status.
+// Codes returned to callers. docs/API.md lists them with their HTTP status.
 const (
 	CodeBadRequest         Code = "bad_request"
 	CodeUnauthorized       Code = "unauthorized"
@@ -67,15 +67,15 @@
 	CodeMethodUnsupported  Code = "method_not_allowed"
 )
 
-// Error is the error struct of the product. It is immutable once returned.
+// Error is the error returned to callers. It is immutable once returned.
 type Error struct {
 	// Verdict says whether the request may have run.
 	Verdict Verdict
 	// Code is the machine-readable reason.
 	Code Code
-	// Reason is one sentence for a person; it never names another caller.
+	// Reason is one human-readable sentence; it never names another caller.
 	Reason string
-	// RetryAfter is when asking again may help; zero means that it will not.
+	// RetryAfter is how long to wait before a retry may succeed; zero means that it will not.
 	RetryAfter time.Duration
 }
 
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("%s (%s): %s", e.Code, e.Verdict, e.Reason)
 }
 
-// Refuse returns a NotRun error that asks the caller to come back after retryAfter.
+// Refuse returns a NotRun error that asks the caller to retry after retryAfter.
 func Refuse(code Code, retryAfter time.Duration, format string, arguments ...any) *Error {
 	return &Error{Verdict: NotRun, Code: code, Reason: fmt.Sprintf(format, arguments...), RetryAfter: retryAfter}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time has passed or a context ends.
+// Package wait provides a sleep that a context can interrupt.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports false when the context ended first.
+// For waits for d. It returns false if the context ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
