--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of several processes about one request in
-// order and says what was believed at each decision.
+// Package explain merges the log lines of several processes about one request into one
+// ordered report, together with the state that its nodes acted on.
 package explain
 
 import (
@@ -20,31 +20,31 @@
 type Line struct {
 	Node  string
 	Event string
-	// Time is the node's own time of day; Corrected has the node's difference to the
-	// others taken off.
+	// Time is the node's wall clock time. CorrectedTime is Time minus the node's estimated clock
+	// offset from the reference node.
 	Time          time.Time
 	CorrectedTime time.Time
 	Fields        map[string]any
-	// order is the line's place in its input.
+	// order is the line's position in the input.
 	order int
 }
 
 // Log is the content of one or several logs.
 type Log struct {
 	Lines []Line
-	// Unreadable counts lines that are no JSON object with a time.
+	// Unreadable counts lines whose JSON is invalid or has no time or node.
 	Unreadable int
-	// Dropped counts, by node, the lines that the processes say they dropped.
+	// Dropped counts, by node, the lines that the processes report as dropped.
 	Dropped map[string]int
-	// ClockJumps counts, by node, how often the time of day went back.
+	// ClockJumps counts, by node, how often the wall clock went back.
 	ClockJumps map[string]int
 }
 
-// maxLine bounds one line.
+// maxLine is the maximum length of one line in bytes.
 const maxLine = 1 << 20
 
-// Read adds the lines of one input. Text before the first brace of a line, as log
-// collectors add it, is passed over.
+// Read adds the lines of one input. Text before the first brace of a line, such as the prefix
+// that a log collector adds, is skipped.
 func (l *Log) Read(input io.Reader) error {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
@@ -67,39 +67,39 @@
 		l.Unreadable++
 		return
 	}
-	stamp, timed := fields["time"].(float64)
-	node, named := fields["node"].(string)
-	if !timed || !named {
+	timestampMS, hasTime := fields["time"].(float64)
+	node, hasNode := fields["node"].(string)
+	if !hasTime || !hasNode {
 		l.Unreadable++
 		return
 	}
 	event, _ := fields["event"].(string)
-	line := Line{Node: node, Event: event, Time: time.UnixMilli(int64(stamp)), Fields: fields, order: len(l.Lines)}
+	line := Line{Node: node, Event: event, Time: time.UnixMilli(int64(timestampMS)), Fields: fields, order: len(l.Lines)}
 	l.Lines = append(l.Lines, line)
 }
 
-// prepare counts drops and jumps and corrects the nodes' clocks.
+// prepare counts dropped lines and clock jumps and corrects the nodes' clocks.
 func (l *Log) prepare() {
 	l.Dropped, l.ClockJumps = map[string]int{}, map[string]int{}
 	last := map[string]time.Time{}
-	const jump = 500 * time.Millisecond
+	const jumpThreshold = 500 * time.Millisecond
 	for _, line := range l.Lines {
-		if lines, counted := line.Fields["lines"].(float64); line.Event == "log_dropped" && counted {
+		if lines, hasCount := line.Fields["lines"].(float64); line.Event == "log_dropped" && hasCount {
 			l.Dropped[line.Node] += int(lines)
 		}
-		if line.Time.Before(last[line.Node].Add(-jump)) {
+		if line.Time.Before(last[line.Node].Add(-jumpThreshold)) {
 			l.ClockJumps[line.Node]++
 		}
 		last[line.Node] = line.Time
 	}
-	offsets := l.offsets()
-	for place := range l.Lines {
-		l.Lines[place].CorrectedTime = l.Lines[place].Time.Add(-offsets[l.Lines[place].Node])
+	offsets := l.clockOffsets()
+	for i := range l.Lines {
+		l.Lines[i].CorrectedTime = l.Lines[i].Time.Add(-offsets[l.Lines[i].Node])
 	}
 }
 
-// anchor names what all nodes learn within a moment: a version of the configuration
-// or an epoch of a cell.
+// anchor returns the name of an event that all nodes log at nearly the same time, a configuration
+// version or the epoch of a cell, and "" for other lines.
 func (l Line) anchor() string {
 	switch l.Event {
 	case "configuration_changed":
@@ -111,9 +111,9 @@
 	}
 }
 
-// offsets estimates each node's difference to the node with the most anchors: the
-// median over the anchors that both have.
-func (l *Log) offsets() map[string]time.Duration {
+// clockOffsets estimates each node's clock offset from the node with the most anchors, as the
+// median over the anchors that both logged.
+func (l *Log) clockOffsets() map[string]time.Duration {
 	anchors := map[string]map[string]time.Time{}
 	for _, line := range l.Lines {
 		name := line.anchor()
@@ -149,21 +149,21 @@
 	return offsets
 }
 
-// Report is what the logs say of one request.
+// Report is the result of Explain for one request.
 type Report struct {
 	ID string `json:"id"`
 	// Found is false when no line names the request.
 	Found bool `json:"found"`
-	// Steps are the lines that name the request, and those of the same node that
-	// changed what it believed while the request was there.
+	// Steps are the lines that name the request, and those of the same nodes that changed
+	// their state shortly before or during it.
 	Steps []Step `json:"steps"`
-	// Warnings say what may be missing or out of order.
+	// Warnings list what may be missing or out of order.
 	Warnings []string `json:"doubts,omitempty"`
 }
 
 // Step is one line of a report.
 type Step struct {
-	// AtMS is the time since the first step.
+	// AtMS is the time since the first step in milliseconds.
 	AtMS        int64          `json:"atMs"`
 	Node        string         `json:"node"`
 	Event       string         `json:"event"`
@@ -171,26 +171,25 @@
 	Fields      map[string]any `json:"fields"`
 }
 
-// beliefSpan is how long before a request's first line a change of belief still
-// counts as context.
-const beliefSpan = 3 * time.Second
+// contextWindow is how long before a request's start a state change is still included as context.
+const contextWindow = 3 * time.Second
 
 // Explain reports on a request by its id.
 func (l *Log) Explain(id string) Report {
 	l.prepare()
-	report := Report{ID: id, Warnings: l.doubts()}
-	var own []Line
+	report := Report{ID: id, Warnings: l.warnings()}
+	var requestLines []Line
 	for _, line := range l.Lines {
 		if line.Fields["id"] == id {
-			own = append(own, line)
+			requestLines = append(requestLines, line)
 		}
 	}
-	if len(own) == 0 {
-		report.Warnings = append(report.Warnings, "no line names this id: look for it at the other nodes, and whether their lines were dropped")
+	if len(requestLines) == 0 {
+		report.Warnings = append(report.Warnings, "no line names this id: check the logs of the other nodes and whether lines were dropped")
 		return report
 	}
 	report.Found = true
-	lines := append(own, l.beliefs(own)...)
+	lines := append(requestLines, l.stateChanges(requestLines)...)
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		if a.Node == b.Node {
 			return cmp.Compare(a.order, b.order)
@@ -206,73 +205,73 @@
 	return report
 }
 
-// beliefs returns the lines of the same nodes that changed what they believed from
-// shortly before the request until its last line.
-func (l *Log) beliefs(own []Line) []Line {
+// stateChanges returns the lines without a request id that the same nodes logged from contextWindow
+// before the request's start until its last line.
+func (l *Log) stateChanges(requestLines []Line) []Line {
 	from, to := map[string]time.Time{}, map[string]time.Time{}
-	for _, line := range own {
-		began := line.CorrectedTime
+	for _, line := range requestLines {
+		start := line.CorrectedTime
 		if took, timed := line.Fields["took_ms"].(float64); timed {
-			began = began.Add(-time.Duration(took) * time.Millisecond)
+			start = start.Add(-time.Duration(took) * time.Millisecond)
 		}
-		if from[line.Node].IsZero() || began.Before(from[line.Node]) {
-			from[line.Node] = began
+		if from[line.Node].IsZero() || start.Before(from[line.Node]) {
+			from[line.Node] = start
 		}
 		if line.CorrectedTime.After(to[line.Node]) {
 			to[line.Node] = line.CorrectedTime
 		}
 	}
-	var beliefs []Line
+	var changes []Line
 	for _, line := range l.Lines {
-		_, names := line.Fields["id"]
-		since, there := from[line.Node]
-		if names || !there || line.CorrectedTime.Before(since.Add(-beliefSpan)) || line.CorrectedTime.After(to[line.Node]) {
+		_, hasID := line.Fields["id"]
+		since, involved := from[line.Node]
+		if hasID || !involved || line.CorrectedTime.Before(since.Add(-contextWindow)) || line.CorrectedTime.After(to[line.Node]) {
 			continue
 		}
-		beliefs = append(beliefs, line)
+		changes = append(changes, line)
 	}
-	return beliefs
+	return changes
 }
 
-func (l *Log) doubts() []string {
-	var doubts []string
+func (l *Log) warnings() []string {
+	var found []string
 	for _, node := range slices.Sorted(maps.Keys(l.Dropped)) {
-		doubts = append(doubts, fmt.Sprintf("%s dropped %d lines", node, l.Dropped[node]))
+		found = append(found, fmt.Sprintf("%s dropped %d lines", node, l.Dropped[node]))
 	}
 	for _, node := range slices.Sorted(maps.Keys(l.ClockJumps)) {
-		doubts = append(doubts, fmt.Sprintf("the clock of %s went back %d times: its lines keep their own order", node, l.ClockJumps[node]))
+		found = append(found, fmt.Sprintf("the clock of %s went back %d times: its lines are kept in logged order", node, l.ClockJumps[node]))
 	}
 	if l.Unreadable > 0 {
-		doubts = append(doubts, fmt.Sprintf("%d lines could not be read", l.Unreadable))
+		found = append(found, fmt.Sprintf("%d lines could not be read", l.Unreadable))
 	}
-	return doubts
+	return found
 }
 
-// describe says in one sentence what a line means.
+// describe returns a one-sentence description of a line.
 func describe(line Line) string {
-	value := func(name string) string { return text(line.Fields[name]) }
+	value := func(name string) string { return formatValue(line.Fields[name]) }
 	switch line.Event {
 	case "request":
 		return fmt.Sprintf("answered %s (%s) after %s ms on route %s under configuration %s: %s sends, last to %s with %s requests there%s; %s",
 			value("status"), value("result"), value("took_ms"), value("route"), value("config"), value("sends"), orNone(value("instance")),
-			value("load"), describeExpected(line), orNone(value("reason")))
+			value("load"), describePlacement(line), orNone(value("reason")))
 	case "send_failed":
 		return fmt.Sprintf("send to %s failed after %s ms, verdict %s: %s", value("instance"), value("since_ms"), value("verdict"), value("reason"))
 	case "program_admission":
-		return fmt.Sprintf("new program, verdict %s: room for %s of %s slots, %s committed, %s reserved for more urgent ones, %s of rank %s ask a second of which a part of %s may begin; wait %s ms",
+		return fmt.Sprintf("new program, verdict %s: room for %s of %s slots, %s committed, %s reserved for higher priority; %s arrivals per second of rank %s, admitted with probability %s; retry after %s ms",
 			value("verdict"), value("room"), value("slots"), value("committed"), value("reserved"), value("asked_per_s"), value("rank"), value("chance"), value("wait"))
 	case "limit_reached":
 		if value("held") == "true" {
-			return fmt.Sprintf("tenant %s holds back new programs: %s began within the window, each makes %s requests, its limit of %s a second and a burst of %s has credit for %s; %s, its home lender, expects credit for a whole one in %s ms",
+			return fmt.Sprintf("tenant %s holds back new programs: %s started within the window, at %s requests each, and its limit of %s/s with a burst of %s has credit for %s; %s, its home lender, expects credit for a whole program in %s ms",
 				value("tenant"), value("begun"), value("per_program"), value("limit_per_s"), value("limit_burst"), value("credit"), value("lender"), value("wait"))
 		}
-		return fmt.Sprintf("tenant %s is beyond its limit of %s a second and a burst of %s under configuration %s: %s, asked last, has an allowance in %s ms",
+		return fmt.Sprintf("tenant %s exceeds its limit of %s/s with a burst of %s under configuration %s: %s, the last lender asked, has an allowance in %s ms",
 			value("tenant"), value("limit_per_s"), value("limit_burst"), value("config"), value("lender"), value("wait"))
 	case "memory_bound":
-		return fmt.Sprintf("memory for callers is used up, bound %q, with %s bytes held by %s requests; it may have run: %s",
+		return fmt.Sprintf("memory limit for callers reached, bound %q, with %s bytes held by %s requests; it may have run: %s",
 			value("bound"), value("held_bytes"), value("in_flight"), value("ran"))
 	case "stream_resumed":
-		return fmt.Sprintf("stream taken up again behind event %q of %s: %s", value("last_event"), value("instance"), value("reason"))
+		return fmt.Sprintf("stream resumed after event %q of %s: %s", value("last_event"), value("instance"), value("reason"))
 	case "history_missing":
 		return fmt.Sprintf("this replica lacks turn %s or one before it", value("previous"))
 	case "reservation_stale":
@@ -284,7 +283,7 @@
 	case "configuration_changed":
 		return "configuration " + value("version") + " in force"
 	case "instance_speed_changed":
-		return fmt.Sprintf("believes that %s takes %s times as long as usual, by %s observations and %s other reporters",
+		return fmt.Sprintf("estimates that %s is slower than usual by a factor of %s, from %s observations and %s other reporters",
 			value("instance"), value("factor"), value("observations"), value("reporters"))
 	case "back_ends_changed":
 		return fmt.Sprintf("%s instances, %s leaving, gone: %s", value("instances"), value("leaving"), value("gone"))
@@ -297,17 +296,18 @@
 	}
 }
 
-// describeExpected says what a placement made of reported load, where it went by its age.
-func describeExpected(line Line) string {
-	age := text(line.Fields["reports_age_ms"])
+// describePlacement describes the expected load of a placement that used aged load reports. It returns
+// "" for placements that did not.
+func describePlacement(line Line) string {
+	age := formatValue(line.Fields["reports_age_ms"])
 	if age == "" || age == "0" {
 		return ""
 	}
-	return fmt.Sprintf(" (%s expected, for reports were %s ms old) and %s prompt tokens to read",
-		text(line.Fields["expected_load"]), age, text(line.Fields["missing"]))
+	return fmt.Sprintf(" (%s expected, as reports were %s ms old) and %s prompt tokens to read",
+		formatValue(line.Fields["expected_load"]), age, formatValue(line.Fields["missing"]))
 }
 
-func text(value any) string {
+func formatValue(value any) string {
 	switch typed := value.(type) {
 	case nil:
 		return ""
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -21,7 +21,7 @@
 {"time":90000,"node":"gateway-1","event":"log_dropped","lines":7}
 `
 
-func TestTheStepsOfARequestComeInOrder(t *testing.T) {
+func TestExplainOrdersSteps(t *testing.T) {
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(recorded)))
 	report := log.Explain("r1")
@@ -37,11 +37,11 @@
 	require.Equal(t, int64(1205), report.Steps[4].AtMS, "the replica's clock is corrected")
 	require.Contains(t, report.Steps[5].Description, "answered 503 (unavailable) after 110 ms")
 	require.Equal(t, []string{
-		"gateway-1 dropped 7 lines", "the clock of gateway-1 went back 1 times: its lines keep their own order", "1 lines could not be read",
+		"gateway-1 dropped 7 lines", "the clock of gateway-1 went back 1 times: its lines are kept in logged order", "1 lines could not be read",
 	}, report.Warnings)
 }
 
-func TestAnUnknownIDIsSaidSo(t *testing.T) {
+func TestExplainReportsUnknownID(t *testing.T) {
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(recorded)))
 	report := log.Explain("nobody")
@@ -49,18 +49,18 @@
 	require.Contains(t, report.Warnings[len(report.Warnings)-1], "no line names this id")
 }
 
-func TestALimitIsExplained(t *testing.T) {
+func TestExplainDescribesRateLimit(t *testing.T) {
 	const line = `{"time":90000,"node":"gateway-1","event":"limit_reached","id":"r9","tenant":"riga","lender":"replica-2","limit_per_s":12.5,"limit_burst":6,"wait":740,"config":4}`
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(line)))
-	require.Equal(t, "tenant riga is beyond its limit of 12.5 a second and a burst of 6 under configuration 4: replica-2, asked last, has an allowance in 740 ms",
+	require.Equal(t, "tenant riga exceeds its limit of 12.5/s with a burst of 6 under configuration 4: replica-2, the last lender asked, has an allowance in 740 ms",
 		log.Explain("r9").Steps[0].Description)
 }
 
-func TestAPlacementByOldReportsAndABoundOfMemoryAreExplained(t *testing.T) {
+func TestExplainDescribesPlacementAndMemoryLimit(t *testing.T) {
 	for line, about := range map[string]string{
-		`{"time":1,"node":"g","event":"request","id":"r1","status":200,"result":"answered","took_ms":80,"route":"chat","config":4,"sends":1,"instance":"i-1","load":7,"expected_load":2.5,"reports_age_ms":480,"missing":310,"reason":""}`: "answered 200 (answered) after 80 ms on route chat under configuration 4: 1 sends, last to i-1 with 7 requests there (2.5 expected, for reports were 480 ms old) and 310 prompt tokens to read; none",
-		`{"time":1,"node":"g","event":"memory_bound","id":"r1","tenant":"riga","bound":"tenant","ran":false,"held_bytes":4096,"in_flight":3}`:                                                                                              "memory for callers is used up, bound \"tenant\", with 4096 bytes held by 3 requests; it may have run: false",
+		`{"time":1,"node":"g","event":"request","id":"r1","status":200,"result":"answered","took_ms":80,"route":"chat","config":4,"sends":1,"instance":"i-1","load":7,"expected_load":2.5,"reports_age_ms":480,"missing":310,"reason":""}`: "answered 200 (answered) after 80 ms on route chat under configuration 4: 1 sends, last to i-1 with 7 requests there (2.5 expected, as reports were 480 ms old) and 310 prompt tokens to read; none",
+		`{"time":1,"node":"g","event":"memory_bound","id":"r1","tenant":"riga","bound":"tenant","ran":false,"held_bytes":4096,"in_flight":3}`:                                                                                              "memory limit for callers reached, bound \"tenant\", with 4096 bytes held by 3 requests; it may have run: false",
 	} {
 		var log Log
 		require.NoError(t, log.Read(strings.NewReader(line)))
@@ -68,10 +68,10 @@
 	}
 }
 
-func TestAProgramThatIsHeldBackIsExplained(t *testing.T) {
+func TestExplainDescribesHeldBackProgram(t *testing.T) {
 	const line = `{"time":90000,"node":"gateway-1","event":"limit_reached","id":"r9","tenant":"riga","lender":"replica-2","limit_per_s":12.5,"limit_burst":6,"wait":740,"part":"first","held":true,"credit":31,"begun":4,"per_program":17.5,"config":4}`
 	var log Log
 	require.NoError(t, log.Read(strings.NewReader(line)))
-	require.Equal(t, "tenant riga holds back new programs: 4 began within the window, each makes 17.5 requests, its limit of 12.5 a second and a burst of 6 has credit for 31; replica-2, its home lender, expects credit for a whole one in 740 ms",
+	require.Equal(t, "tenant riga holds back new programs: 4 started within the window, at 17.5 requests each, and its limit of 12.5/s with a burst of 6 has credit for 31; replica-2, its home lender, expects credit for a whole program in 740 ms",
 		log.Explain("r9").Steps[0].Description)
 }
