--- a/internal/timeline/cell.go
+++ b/internal/timeline/aggregate.go
@@ -8,7 +8,7 @@
 	"swiftbank.dev/swiftbank/internal/explain"
 )
 
-// entry is one line of a log with typed access to its fields.
+// entry is a log line with typed access to its fields.
 type entry explain.Line
 
 func (e entry) text(name string) string {
@@ -21,7 +21,7 @@
 	return value
 }
 
-// group returns the name under which the request is counted.
+// group returns the name of the group that the request belongs to.
 func (e entry) group(by Group, zones map[string]string) string {
 	switch by {
 	case ByZone:
@@ -33,38 +33,38 @@
 	}
 }
 
-// cell gathers the requests of one group in one span.
-type cell struct {
+// aggregate accumulates the requests of one group in one span.
+type aggregate struct {
 	answered, refused, failed, late int
-	first, took                     *hdrhistogram.Histogram
+	firstEventMS, durationMS        *hdrhistogram.Histogram
 	reasons                         map[string]int
 }
 
-// longestMS bounds the times that are told apart, in milliseconds; significantFigures is how
-// exactly.
+// maxTrackedMS is the upper bound of the histograms in milliseconds, significantFigures their
+// precision.
 const (
-	longestMS          = 3_600_000
+	maxTrackedMS       = 3_600_000
 	significantFigures = 3
 )
 
-func newCell() *cell {
-	return &cell{
-		first: hdrhistogram.New(1, longestMS, significantFigures), took: hdrhistogram.New(1, longestMS, significantFigures),
+func newAggregate() *aggregate {
+	return &aggregate{
+		firstEventMS: hdrhistogram.New(1, maxTrackedMS, significantFigures), durationMS: hdrhistogram.New(1, maxTrackedMS, significantFigures),
 		reasons: map[string]int{},
 	}
 }
 
 // add counts one finished request.
-func (c *cell) add(request entry) {
+func (c *aggregate) add(request entry) {
 	if request.number("program_left_ms") < 0 {
 		c.late++
 	}
 	switch status := int(request.number("status")); {
 	case request.text("result") == "answered":
 		c.answered++
-		record(c.took, request.number("took_ms"))
+		record(c.durationMS, request.number("took_ms"))
 		if request.number("events") > 0 {
-			record(c.first, request.number("first_ms"))
+			record(c.firstEventMS, request.number("first_ms"))
 		}
 		return
 	case isRefusal(status):
@@ -75,7 +75,7 @@
 	c.reasons[request.text("result")]++
 }
 
-// isRefusal reports whether a status turns a request away that another time or place may serve.
+// isRefusal reports whether a status refuses a request that may succeed later or at another node.
 func isRefusal(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusPaymentRequired:
@@ -85,17 +85,17 @@
 	}
 }
 
-// row sums up the cell.
-func (c *cell) row() Row {
+// row returns the totals as a Row without its span and group.
+func (c *aggregate) row() Row {
 	return Row{
 		Answered: c.answered, Refused: c.refused, Failed: c.failed, LateStarts: c.late,
-		FirstEventMS: quantilesOf(c.first), DurationMS: quantilesOf(c.took), Reasons: c.reasons,
+		FirstEventMS: quantilesOf(c.firstEventMS), DurationMS: quantilesOf(c.durationMS), Reasons: c.reasons,
 	}
 }
 
-// record counts a time; what is longer than can be told apart counts as the longest.
-func record(histogram *hdrhistogram.Histogram, tookMS float64) {
-	_ = histogram.RecordValue(min(longestMS, max(0, int64(tookMS)))) // within the bounds it cannot fail
+// record adds a time to the histogram, clamped to maxTrackedMS.
+func record(histogram *hdrhistogram.Histogram, valueMS float64) {
+	_ = histogram.RecordValue(min(maxTrackedMS, max(0, int64(valueMS)))) // within the bounds it cannot fail
 }
 
 func quantilesOf(histogram *hdrhistogram.Histogram) Quantiles {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline sums up the request lines of gateways' logs by spans of time, and within
-// them by route, zone or tenant: it shows which callers pay for a load, and when. It reads
-// what explain.Log holds and decides nothing.
+// Package timeline summarizes the request lines of gateways' logs by spans of time, and within
+// them by route, zone or tenant. It shows which callers are affected by overload, and when.
+// Its input is an explain.Log.
 package timeline
 
 import (
@@ -12,7 +12,7 @@
 	"swiftbank.dev/swiftbank/internal/explain"
 )
 
-// Group says by what the requests of a span are told apart.
+// Group is the attribute by which the requests of a span are grouped.
 type Group string
 
 // The groups.
@@ -25,17 +25,17 @@
 // Groups lists all groups.
 func Groups() []Group { return []Group{ByRoute, ByZone, ByTenant} }
 
-// Row is what became of the requests of one group in one span of time.
+// Row summarizes the outcomes of the requests of one group in one span of time.
 type Row struct {
 	// FromS is the start of the span in seconds after the first request.
 	FromS float64 `json:"from_s"`
 	Group string  `json:"group"`
-	// Answered counts requests with a whole answer, Refused those turned away for lack of
-	// room, credit, budget or knowledge, Failed all others, whether or not they ran.
+	// Answered counts requests with a complete response, Refused those rejected for lack of
+	// capacity, credit, budget or current state, Failed all others, whether or not they ran.
 	Answered int `json:"answered"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// LateStarts counts the requests whose program had no time left when they came.
+	// LateStarts counts the requests whose program deadline had passed when they arrived.
 	LateStarts int `json:"late_starts"`
 	// FirstEventMS and TookMS are the median and the 95th percentile of the time to the first event
 	// and of the whole time of answered requests, in milliseconds.
@@ -45,22 +45,23 @@
 	Reasons map[string]int `json:"reasons,omitempty"`
 }
 
-// Quantiles are two quantiles of a set of values; zero where there are none.
+// Quantiles are two quantiles of a set of values; zero if the set is empty.
 type Quantiles struct {
 	Median float64 `json:"median"`
 	P95    float64 `json:"p95"`
 }
 
-// requestEvent is the log event of a finished request; startEvent says in which zone a node is.
+// requestEvent is the log event of a finished request. startEvent is the event of a node's start,
+// which carries its zone.
 const (
 	requestEvent = "request"
 	startEvent   = "start"
 )
 
-// Summarize returns the rows of a log in the order of time, the groups of a span by name.
+// Summarize returns the rows of a log, sorted by time and, within a span, by group name.
 func Summarize(log *explain.Log, span time.Duration, by Group) []Row {
 	zones := zonesOf(log)
-	cells := map[cellKey]*cell{}
+	aggregates := map[aggregateKey]*aggregate{}
 	var first time.Time
 	for _, line := range log.Lines {
 		if line.Event == requestEvent && (first.IsZero() || line.Time.Before(first)) {
@@ -72,27 +73,27 @@
 		if line.Event != requestEvent || request.text("route") == "" {
 			continue
 		}
-		key := cellKey{span: int64(line.Time.Sub(first) / span), group: request.group(by, zones)}
-		if cells[key] == nil {
-			cells[key] = newCell()
+		key := aggregateKey{span: int64(line.Time.Sub(first) / span), group: request.group(by, zones)}
+		if aggregates[key] == nil {
+			aggregates[key] = newAggregate()
 		}
-		cells[key].add(request)
+		aggregates[key].add(request)
 	}
-	return rows(cells, span)
+	return buildRows(aggregates, span)
 }
 
-type cellKey struct {
+type aggregateKey struct {
 	span  int64
 	group string
 }
 
-func rows(cells map[cellKey]*cell, span time.Duration) []Row {
-	keys := slices.SortedFunc(maps.Keys(cells), func(a, b cellKey) int {
+func buildRows(aggregates map[aggregateKey]*aggregate, span time.Duration) []Row {
+	keys := slices.SortedFunc(maps.Keys(aggregates), func(a, b aggregateKey) int {
 		return cmp.Or(cmp.Compare(a.span, b.span), cmp.Compare(a.group, b.group))
 	})
 	all := make([]Row, 0, len(keys))
 	for _, key := range keys {
-		row := cells[key].row()
+		row := aggregates[key].row()
 		row.FromS = (time.Duration(key.span) * span).Seconds()
 		row.Group = key.group
 		all = append(all, row)
@@ -100,7 +101,7 @@
 	return all
 }
 
-// zonesOf returns the zone of each node by its start line.
+// zonesOf returns the zone of each node, taken from its start line.
 func zonesOf(log *explain.Log) map[string]string {
 	zones := map[string]string{}
 	for _, line := range log.Lines {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -11,7 +11,7 @@
 	"swiftbank.dev/swiftbank/internal/timeline"
 )
 
-const logged = `
+const logLines = `
 {"time":900,"node":"g1","event":"start","zone":"east"}
 {"time":900,"node":"g2","event":"start","zone":"west"}
 {"time":1000,"node":"g1","event":"request","route":"chat","tenant":"a","status":200,"result":"answered","events":3,"first_ms":40,"took_ms":100,"program_left_ms":900}
@@ -21,15 +21,15 @@
 {"time":3100,"node":"g1","event":"request","route":"","status":404,"result":"not_found"}
 `
 
-func read(t *testing.T) *explain.Log {
+func parseLog(t *testing.T) *explain.Log {
 	t.Helper()
 	log := &explain.Log{}
-	require.NoError(t, log.Read(strings.NewReader(logged)))
+	require.NoError(t, log.Read(strings.NewReader(logLines)))
 	return log
 }
 
 func TestRequestsAreSummedBySpanAndGroup(t *testing.T) {
-	rows := timeline.Summarize(read(t), 2*time.Second, timeline.ByRoute)
+	rows := timeline.Summarize(parseLog(t), 2*time.Second, timeline.ByRoute)
 	require.Equal(t, []timeline.Row{
 		{
 			FromS: 0, Group: "chat", Answered: 2, Reasons: map[string]int{},
@@ -40,10 +40,10 @@
 	}, rows)
 }
 
-func TestGroupsAreZonesOrTenantsAsAsked(t *testing.T) {
+func TestGroupsByZoneAndTenant(t *testing.T) {
 	names := func(by timeline.Group) []string {
 		var groups []string
-		for _, row := range timeline.Summarize(read(t), time.Minute, by) {
+		for _, row := range timeline.Summarize(parseLog(t), time.Minute, by) {
 			groups = append(groups, row.Group)
 		}
 		return groups
