--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes a process's log: JSON lines on standard output, one for
-// each decision. Writing never blocks a decision: lines wait in a bounded queue,
-// and what does not fit is dropped and counted.
+// Package eventlog writes a process's log as JSON lines, one per decision. Logging never
+// blocks a decision: lines go through a bounded queue, and lines that do not fit are dropped
+// and counted.
 package eventlog
 
 import (
@@ -14,35 +14,35 @@
 )
 
 const (
-	// queueLines is how many lines may wait for the output.
-	queueLines = 4096
-	// batchBytes is how much is written in one call.
-	batchBytes = 32 << 10
-	// flushInterval is how long a line may wait for others before it is written.
+	// queueCapacity is the maximum number of queued lines.
+	queueCapacity = 4096
+	// maxBatchBytes is the size at which a batch is written.
+	maxBatchBytes = 32 << 10
+	// flushInterval is how long a line is held back to batch it with later ones.
 	flushInterval = 100 * time.Millisecond
 )
 
-// Writer is the bounded queue before the output. It implements log.Writer.
+// Writer writes lines to the output through a bounded queue. It implements log.Writer.
 type Writer struct {
 	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
-	// told is how many dropped lines the log itself has told of.
-	told uint64
-	node string
-	stop chan struct{}
-	done sync.WaitGroup
+	// reportedDrops is how many of the dropped lines the log has reported so far.
+	reportedDrops uint64
+	node          string
+	stop          chan struct{}
+	done          sync.WaitGroup
 }
 
 // NewWriter starts a writer over the output.
 func NewWriter(output io.Writer) *Writer {
-	w := &Writer{output: output, lines: make(chan []byte, queueLines), stop: make(chan struct{})}
+	w := &Writer{output: output, lines: make(chan []byte, queueCapacity), stop: make(chan struct{})}
 	w.done.Add(1)
 	go w.run()
 	return w
 }
 
-// New returns a logger whose lines go through the writer.
+// New returns a logger that writes through w and adds the node's name to each line.
 func New(w *Writer, node string) *log.Logger {
 	w.node = node
 	return &log.Logger{
@@ -65,16 +65,16 @@
 // Dropped returns how many lines found the queue full.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the writer. An output that nobody reads holds
-// up Close only as long as the timeout.
+// Close writes the queued lines and stops the writer. If the output blocks, Close returns after
+// the timeout.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.stop)
-	ended := make(chan struct{})
-	go func() { w.done.Wait(); close(ended) }()
+	finished := make(chan struct{})
+	go func() { w.done.Wait(); close(finished) }()
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-finished:
 	case <-timer.C:
 	}
 }
@@ -101,9 +101,9 @@
 	}
 }
 
-// fill adds the lines that wait, as far as one write takes them.
+// fill appends queued lines to the batch until it holds maxBatchBytes or the queue is empty.
 func (w *Writer) fill(batch []byte) []byte {
-	for len(batch) < batchBytes {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-w.lines:
 			batch = append(batch, line...)
@@ -115,16 +115,16 @@
 }
 
 func (w *Writer) write(batch []byte) {
-	if dropped := w.dropped.Load(); dropped > w.told {
-		batch = append(batch, w.droppedLine(dropped-w.told)...)
-		w.told = dropped
+	if dropped := w.dropped.Load(); dropped > w.reportedDrops {
+		batch = append(batch, w.droppedLine(dropped-w.reportedDrops)...)
+		w.reportedDrops = dropped
 	}
 	if len(batch) > 0 {
-		_, _ = w.output.Write(batch) // there is no other place to tell of a failure
+		_, _ = w.output.Write(batch) // there is nowhere else to report a failure
 	}
 }
 
-// droppedLine tells how many lines were dropped since the last such line.
+// droppedLine returns a log line that reports how many lines were dropped since the last report.
 func (w *Writer) droppedLine(lines uint64) []byte {
 	return fmt.Appendf(nil, `{"time":%d,"level":"warn","node":%q,"event":"log_dropped","lines":%d}`+"\n",
 		time.Now().UnixMilli(), w.node, lines)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -10,19 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unread is an output that nobody reads.
-type unread struct{ release chan struct{} }
+// blockedOutput is an output whose writes block until release is closed.
+type blockedOutput struct{ release chan struct{} }
 
-func (u unread) Write(p []byte) (int, error) {
+func (u blockedOutput) Write(p []byte) (int, error) {
 	<-u.release
 	return len(p), nil
 }
 
-func TestAnOutputThatNobodyReadsBlocksNothing(t *testing.T) {
-	output := unread{release: make(chan struct{})}
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	output := blockedOutput{release: make(chan struct{})}
 	writer := NewWriter(output)
 	logger := New(writer, "node")
-	const lines = 4 * queueLines
+	const lines = 4 * queueCapacity
 	for range lines {
 		logger.Info().Str("event", "request").Msg("")
 	}
--- a/internal/hangup/early_nocgo.go
+++ b/internal/hangup/early_nocgo.go
@@ -2,5 +2,5 @@
 
 package hangup
 
-// endAtHangup has nothing to do where nothing was ignored before the runtime started.
+// endAtHangup does nothing: without cgo, SIGHUP is not ignored before the runtime starts.
 func endAtHangup() {}
--- a/internal/hangup/early_test.go
+++ b/internal/hangup/early_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A SIGHUP in the milliseconds in which the runtime starts ended the process.
-func TestAHangupIsIgnoredBeforeTheRuntimeStarts(t *testing.T) {
-	require.True(t, ignoredBefore)
+// A SIGHUP during the milliseconds in which the runtime starts used to terminate the process.
+func TestHangupIsIgnoredBeforeRuntimeStarts(t *testing.T) {
+	require.True(t, ignoredAtStart)
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup keeps a SIGHUP from ending a process that has only just started. The signal
-// asks serving processes to read their settings again, and operators may send it at any
-// moment; without a handler it ends the process.
+// Package hangup keeps a SIGHUP from terminating a process that has just started. The signal
+// makes serving processes reload their settings, and operators may send it at any time; without
+// a handler it terminates the process.
 package hangup
 
 import (
@@ -9,23 +9,24 @@
 	"syscall"
 )
 
-// ignoredBefore says that a SIGHUP had no effect before the handler was there.
-var ignoredBefore = signal.Ignored(syscall.SIGHUP)
+// ignoredAtStart reports whether SIGHUP was ignored before the handler was installed.
+var ignoredAtStart = signal.Ignored(syscall.SIGHUP)
 
-// received gets each SIGHUP from the initialisation of this package on, which depends on
-// nothing but the runtime and so comes before that of the program's larger packages.
-var received = catch()
+// hangups receives each SIGHUP from the initialisation of this package on. The package depends on
+// nothing but the runtime, so it is initialised before the program's larger packages.
+var hangups = notifyHangups()
 
-func catch() chan os.Signal {
+func notifyHangups() chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// Signals returns the channel of hangups, for processes that serve until they are stopped.
-func Signals() chan os.Signal { return received }
+// Signals returns the channel that receives SIGHUP, for long-running processes.
+func Signals() chan os.Signal { return hangups }
 
-// RestoreDefault gives SIGHUP its usual effect back, for commands that end by themselves.
+// RestoreDefault restores the default action of SIGHUP, termination, for commands that are not
+// long-running.
 func RestoreDefault() {
 	signal.Reset(syscall.SIGHUP)
 	endAtHangup()
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A SIGHUP that came while a process read its settings, or while a replica read its log,
-// ended it: nothing but the initialisation of the package may be needed.
-func TestAHangupIsCaughtWithoutAnyCall(t *testing.T) {
+// A SIGHUP while a process read its settings, or a replica its log, used to terminate the process.
+// Importing the package must be enough to prevent that.
+func TestHangupIsCaughtAtPackageInitialization(t *testing.T) {
 	require.NoError(t, syscall.Kill(syscall.Getpid(), syscall.SIGHUP))
 	require.Equal(t, syscall.SIGHUP, <-Signals())
 }
--- a/internal/loadstatus/loadstatus.go
+++ b/internal/loadstatus/loadstatus.go
@@ -1,5 +1,5 @@
-// Package loadstatus sums up what gateways' metrics say of load control over the whole fleet:
-// room, what is committed and who was refused, by service and rank. Histograms are left out.
+// Package loadstatus aggregates the load control metrics of gateways over the whole fleet: free
+// and committed capacity and refusals, by service and rank. Histograms are left out.
 package loadstatus
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/prometheus/common/model"
 )
 
-// nodeLabel tells the processes apart; figures are summed over it.
+// nodeLabel is the label that identifies the process; values are summed over it.
 const nodeLabel = "node"
 
-// Row is one figure of load control over all gateways that were read.
+// Row is one load control metric, aggregated over all gateways that were read.
 type Row struct {
 	Metric string `json:"metric"`
-	// Labels are the metric's labels without the node, as name=value in the order of names.
+	// Labels are the metric's labels without the node, as name=value, sorted by name.
 	Labels []string `json:"labels,omitempty"`
-	// Sum is over the gateways, Least and Most the extremes among them; Gateways is how many
-	// said something.
+	// Sum, Min and Max are taken over the gateways. Gateways is the number of gateways that
+	// export the metric.
 	Sum      float64 `json:"sum"`
 	Min      float64 `json:"least"`
 	Max      float64 `json:"most"`
 	Gateways int     `json:"gateways"`
 }
 
-// Status gathers the figures of several gateways.
+// Status aggregates the metrics of several gateways.
 type Status struct {
 	prefixes []string
 	rows     map[string]*Row
 }
 
-// New returns a status of the metrics whose names begin with one of the prefixes.
+// New returns an empty Status for the metrics whose names begin with one of the prefixes.
 func New(prefixes []string) *Status {
 	return &Status{prefixes: prefixes, rows: map[string]*Row{}}
 }
@@ -49,7 +49,7 @@
 		return fmt.Errorf("loadstatus: %w", err)
 	}
 	for name, family := range families {
-		if !s.shows(name) {
+		if !s.includes(name) {
 			continue
 		}
 		for _, metric := range family.GetMetric() {
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// shows reports whether a metric is one of load control.
-func (s *Status) shows(name string) bool {
+// includes reports whether the metric's name begins with one of the prefixes.
+func (s *Status) includes(name string) bool {
 	return slices.ContainsFunc(s.prefixes, func(prefix string) bool { return strings.HasPrefix(name, prefix) })
 }
 
 func (s *Status) add(name string, metric *dto.Metric) {
-	value, single := valueOf(metric)
-	if !single {
+	value, isScalar := valueOf(metric)
+	if !isScalar {
 		return
 	}
 	labels := labelsOf(metric)
@@ -82,8 +82,8 @@
 	row.Gateways++
 }
 
-// valueOf returns the value of a counter or gauge; single is false for histograms.
-func valueOf(metric *dto.Metric) (value float64, single bool) {
+// valueOf returns the value of a counter or gauge; isScalar is false for other metric types.
+func valueOf(metric *dto.Metric) (value float64, isScalar bool) {
 	switch {
 	case metric.GetGauge() != nil:
 		return metric.GetGauge().GetValue(), true
@@ -105,7 +105,7 @@
 	return labels
 }
 
-// Rows returns all figures in the order of their metrics and labels.
+// Rows returns all rows, sorted by metric and labels.
 func (s *Status) Rows() []Row {
 	rows := make([]Row, 0, len(s.rows))
 	for _, row := range s.rows {
--- a/internal/loadstatus/loadstatus_test.go
+++ b/internal/loadstatus/loadstatus_test.go
@@ -9,7 +9,7 @@
 	"swiftbank.dev/swiftbank/internal/loadstatus"
 )
 
-const first = `
+const firstGateway = `
 # TYPE swiftbank_admission_room gauge
 swiftbank_admission_room{node="g1",service="llm"} 40
 # TYPE swiftbank_admission_refused_total counter
@@ -18,23 +18,23 @@
 swiftbank_requests_total{node="g1"} 9
 `
 
-const second = `
+const secondGateway = `
 # TYPE swiftbank_admission_room gauge
 swiftbank_admission_room{node="g2",service="llm"} 44
 # TYPE swiftbank_admission_refused_total counter
 swiftbank_admission_refused_total{node="g2",service="llm",rank="1"} 4
 `
 
-func TestFiguresAreSummedOverGateways(t *testing.T) {
+func TestRowsSumOverGateways(t *testing.T) {
 	status := loadstatus.New([]string{"swiftbank_admission_"})
-	require.NoError(t, status.Add(strings.NewReader(first)))
-	require.NoError(t, status.Add(strings.NewReader(second)))
+	require.NoError(t, status.Add(strings.NewReader(firstGateway)))
+	require.NoError(t, status.Add(strings.NewReader(secondGateway)))
 	require.Equal(t, []loadstatus.Row{
 		{Metric: "swiftbank_admission_refused_total", Labels: []string{"rank=1", "service=llm"}, Sum: 7, Min: 3, Max: 4, Gateways: 2},
 		{Metric: "swiftbank_admission_room", Labels: []string{"service=llm"}, Sum: 84, Min: 40, Max: 44, Gateways: 2},
 	}, status.Rows())
 }
 
-func TestWhatIsNoMetricsPageIsAnError(t *testing.T) {
+func TestAddRejectsNonMetricsInput(t *testing.T) {
 	require.Error(t, loadstatus.New(nil).Add(strings.NewReader("<html>")))
 }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
 // Package traffic counts the bytes that a process sends to the product's other processes, by
-// the kind of message and by how far they go: bytes between zones and regions are charged for, and
-// a link between regions is shared by all that crosses it.
+// kind of message and distance. Traffic between zones and regions is billed, and all traffic
+// between two regions shares one link.
 package traffic
 
 import (
@@ -13,20 +13,20 @@
 	"swiftbank.dev/swiftbank/internal/replicaset"
 )
 
-// unknown is the distance of a process that the registry does not list under its address.
-const unknown = "unknown"
+// unknownDistance is the distance label for a process whose address is not in the registry.
+const unknownDistance = "unknown"
 
-// Counter counts what one process sends. It is safe for concurrent use; the nil Counter
+// Counter counts the bytes that one process sends. It is safe for concurrent use; a nil Counter
 // counts nothing.
 type Counter struct {
 	bytes  *prometheus.CounterVec
 	zone   string
 	places place.Map
-	// zones maps the hosts of the known processes to their zones.
+	// zones maps the hosts of the registered processes to their zones.
 	zones atomic.Pointer[map[string]string]
 }
 
-// NewCounter returns the counter of a process in a zone, registered.
+// NewCounter returns the counter of a process in a zone and registers its metric.
 func NewCounter(node, zone string, places place.Map, registry *prometheus.Registry) *Counter {
 	c := &Counter{zone: zone, places: places}
 	c.bytes = prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -37,7 +37,7 @@
 	return c
 }
 
-// SetMembers tells the counter where the processes are.
+// SetMembers updates the addresses and zones of the registered processes.
 func (c *Counter) SetMembers(members replicaset.Membership) {
 	if c == nil {
 		return
@@ -53,14 +53,14 @@
 	c.zones.Store(&zones)
 }
 
-// AddSentToZone counts a message to a process in a zone.
+// AddSentToZone counts the bytes of a message to a process in a zone.
 func (c *Counter) AddSentToZone(kind, zone string, bytes int) {
 	if c != nil {
 		c.bytes.WithLabelValues(kind, c.places.Distance(c.zone, zone).String()).Add(float64(bytes))
 	}
 }
 
-// AddSentTo counts a message to the process at an address.
+// AddSentTo counts the bytes of a message to the process at an address.
 func (c *Counter) AddSentTo(kind string, address net.Addr, bytes int) {
 	if c == nil {
 		return
@@ -72,5 +72,5 @@
 			return
 		}
 	}
-	c.bytes.WithLabelValues(kind, unknown).Add(float64(bytes))
+	c.bytes.WithLabelValues(kind, unknownDistance).Add(float64(bytes))
 }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -31,8 +31,8 @@
 		require.NoError(t, counter.bytes.WithLabelValues(label[0], label[1]).Write(&counted))
 		require.Equal(t, want, counted.Counter.GetValue(), label)
 	}
-	var none *Counter
-	none.SetMembers(replicaset.Membership{})
-	none.AddSentTo("load", address("10.0.0.2"), 1)
-	none.AddSentToZone("load", "a", 1)
+	var nilCounter *Counter
+	nilCounter.SetMembers(replicaset.Membership{})
+	nilCounter.AddSentTo("load", address("10.0.0.2"), 1)
+	nilCounter.AddSentToZone("load", "a", 1)
 }
