--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -9,23 +9,24 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// The pauses after which a refused caller may come back.
+// The Retry-After pauses of refused callers.
 const (
 	configurationRetry = 400 * time.Millisecond
 	replicaRetry       = 300 * time.Millisecond
-	// leastFullRetry is for requests whose caller or deadline left no time to forecast.
-	leastFullRetry = 20 * time.Millisecond
-	// elsewhereRetry is for refusals of this gateway alone: others serve.
-	elsewhereRetry = 20 * time.Millisecond
+	// minOverloadRetry is for requests whose caller or deadline left no time to forecast a wait.
+	minOverloadRetry = 20 * time.Millisecond
+	// otherGatewayRetry is for refusals that concern this gateway only: others can serve.
+	otherGatewayRetry = 20 * time.Millisecond
 )
 
-// admit matches the request with its route and reads its body.
+// admit matches the request with its route, authenticates it, holds memory for it, reads its
+// body and selects its service. It returns nil if the request may proceed.
 func (s *Server) admit(w http.ResponseWriter, r *request, incoming *http.Request) *refusal {
-	if s.ending.Load() {
-		return refuseFor(verdict.CodeUnavailable, configurationRetry, "the gateway is about to end")
+	if s.closing.Load() {
+		return refuseFor(verdict.CodeUnavailable, configurationRetry, "the gateway is shutting down")
 	}
 	r.table = s.table.Load()
-	if r.table == nil || !s.isInformed() {
+	if r.table == nil || !s.hasPlacementState() {
 		return refuseFor(verdict.CodeUnavailable, configurationRetry, "no configuration is known yet")
 	}
 	r.route = r.table.Match(r.host, incoming.URL.Path)
@@ -45,7 +46,7 @@
 	if limit <= 0 {
 		limit = defaultBody
 	}
-	if failure := s.holdRequest(r, headerBytes(incoming)); failure != nil {
+	if failure := s.holdRequestMemory(r, headerBytes(incoming)); failure != nil {
 		return failure
 	}
 	body, failure := s.readBody(w, r, incoming, limit)
@@ -59,22 +60,22 @@
 	r.service = r.table.Services[service]
 	r.service.Name = service
 	s.setDeadline(r)
-	r.setProgramEnd(s.dialect.ProgramDeadline)
-	if s.endsBefore(r.deadline) {
-		return refuseFor(verdict.CodeUnavailable, elsewhereRetry, "the gateway ends before the request's deadline")
+	r.setProgramDeadline(s.dialect.ProgramDeadline)
+	if s.drainEndsBefore(r.deadline) {
+		return refuseFor(verdict.CodeUnavailable, otherGatewayRetry, "the gateway shuts down before the request's deadline")
 	}
 	return nil
 }
 
-// authenticate finds the tenant that holds the request's key. A public route needs no key.
-// An unknown key is refused for good only while the configuration is surely the newest one:
-// the key may have been added since.
+// authenticate looks up the tenant that holds the request's key. A public route needs no key.
+// An unknown key is answered with 401 only while the configuration is known to be current:
+// the key may have been added since, so a stale gateway answers with a retryable refusal.
 func (s *Server) authenticate(r *request) *refusal {
 	if r.table.Tenants == nil {
 		return nil
 	}
-	key, shown := tenant.BearerKey(r.header.Values(s.dialect.Authorization))
-	if shown {
+	key, hasKey := tenant.BearerKey(r.header.Values(s.dialect.Authorization))
+	if hasKey {
 		digest := tenant.DigestOf(key)
 		r.keyFingerprint = digest.Fingerprint()
 		r.tenant = r.table.Tenants.ByKey(digest)
@@ -82,16 +83,16 @@
 	switch {
 	case r.tenant != nil || r.route.Public:
 		return nil
-	case shown && s.configurationStale():
+	case hasKey && s.configurationStale():
 		return refuseFor(verdict.CodeStaleConfig, configurationRetry, "the key is unknown and the configuration may be old")
-	case shown:
+	case hasKey:
 		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "no tenant holds this key"}
 	default:
-		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "the request shows no key"}
+		return &refusal{status: http.StatusUnauthorized, code: verdict.CodeUnauthorized, reason: "the request has no key"}
 	}
 }
 
-// headerBytes returns the size of a request's line and header fields.
+// headerBytes returns the size of a request's line and header fields, in bytes.
 func headerBytes(incoming *http.Request) int {
 	const perLine = len(": \r\n")
 	size := len(incoming.Method) + len(incoming.RequestURI) + len(incoming.Proto) + perLine + len("Host") + perLine + len(incoming.Host)
@@ -103,36 +104,38 @@
 	return size
 }
 
+// setDeadline sets the request's deadline from the caller's header, capped by the route's timeout.
 func (s *Server) setDeadline(r *request) {
-	limit, named := milliseconds(r.header, s.dialect.Deadline)
-	if !named {
-		limit = defaultDeadline
+	timeout, present := milliseconds(r.header, s.dialect.Deadline)
+	if !present {
+		timeout = defaultDeadline
 	}
 	if r.route.Timeout > 0 {
-		limit = min(limit, r.route.Timeout)
+		timeout = min(timeout, r.route.Timeout)
 	}
-	r.deadline = r.arrived.Add(limit)
+	r.deadline = r.arrived.Add(timeout)
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is an error answer that the gateway itself generates.
 type refusal struct {
 	status int
 	code   verdict.Code
 	reason string
-	// retryAfter is when the caller may come back; zero says nothing.
+	// retryAfter is the Retry-After pause; 0 omits the header.
 	retryAfter time.Duration
 }
 
-// refuseFor returns a promise that the request has not run and never will.
+// refuseFor returns a 503 refusal, which guarantees that the request has not run and never will.
 func refuseFor(code verdict.Code, retryAfter time.Duration, reason string) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, code: code, reason: reason, retryAfter: retryAfter}
 }
 
-// uncertain says that the request may have run.
-func uncertain(status int, reason string) *refusal {
+// refuseOutcomeUnknown returns a refusal of a request that may have run.
+func refuseOutcomeUnknown(status int, reason string) *refusal {
 	return &refusal{status: status, code: verdict.CodeOutcomeUnknown, reason: reason}
 }
 
+// refuse answers the request with the refusal and records it in the request's outcome.
 func (s *Server) refuse(w http.ResponseWriter, r *request, failure *refusal) {
 	r.outcome.status = failure.status
 	r.outcome.result = string(failure.code)
@@ -145,9 +148,9 @@
 	if failure.retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(failure.retryAfter.Seconds(), 'f', -1, 64))
 	}
-	s.awaitReader(w, r)
+	s.extendWriteDeadline(w, r)
 	body := []byte(`{"error":"` + string(failure.code) + `"}`)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(failure.status)
-	_, _ = w.Write(body) // the caller may be gone
+	_, _ = w.Write(body) // the caller may have disconnected
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -7,47 +7,47 @@
 	"io"
 )
 
-// event is one event of a stream.
+// event is one server-sent event.
 type event struct {
-	// raw is the event as it came, with the empty line that ends it.
+	// raw is the event as received, with the empty line that ends it.
 	raw []byte
 	id  string
-	// data is the content of its data lines.
+	// data is the content of the data lines, joined by newlines.
 	data []byte
 }
 
-// eventReader cuts a stream of events at empty lines. An event that is not whole
-// is never returned.
+// eventReader splits a stream into events at empty lines. It never returns a truncated event.
 type eventReader struct {
 	source *bufio.Reader
 }
 
 func newEventReader(source *bufio.Reader) *eventReader { return &eventReader{source: source} }
 
-// errPartial says that the stream ended within an event.
-var errPartial = errors.New("the stream ended within an event")
+// errTruncatedEvent reports that the stream ended within an event.
+var errTruncatedEvent = errors.New("the stream ended within an event")
 
-// next returns the next whole event, or io.EOF at the stream's end.
+// next returns the next complete event, or io.EOF at the end of the stream.
 func (r *eventReader) next() (event, error) {
-	var read event
+	var parsed event
 	for {
 		line, err := r.source.ReadBytes('\n')
-		if err == io.EOF && len(line)+len(read.raw) > 0 {
-			return event{}, errPartial
+		if err == io.EOF && len(line)+len(parsed.raw) > 0 {
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
 		}
-		read.raw = append(read.raw, line...)
+		parsed.raw = append(parsed.raw, line...)
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			return read, nil
+			return parsed, nil
 		}
-		read.takeLine(line)
+		parsed.parseLine(line)
 	}
 }
 
-func (e *event) takeLine(line []byte) {
+// parseLine adds the fields of one line to the event.
+func (e *event) parseLine(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
--- a/internal/gateway/knowledge_test.go
+++ b/internal/gateway/knowledge_test.go
@@ -9,23 +9,24 @@
 	"swiftbank.dev/swiftbank/internal/feed"
 )
 
-// A gateway that starts hears of an old copy first, a moment before the store tells what is in force.
-func TestAnOldCopyIsNotServedByWhileTheStoreMayAnswer(t *testing.T) {
-	served := func(s *Server) bool { return ask(s, "500").Code != http.StatusServiceUnavailable }
-	started := func(status feed.Status) *Server {
-		s := gatewayOf(t)
-		oneInstance(t, s, func(http.ResponseWriter, *http.Request) {})
+// A starting gateway may receive an outdated copy shortly before the store reports the current
+// state.
+func TestUnconfirmedCopyIsNotUsedBeforeTimeout(t *testing.T) {
+	serves := func(s *Server) bool { return sendCall(s, "500").Code != http.StatusServiceUnavailable }
+	newStartedGateway := func(status feed.Status) *Server {
+		s := newTestGateway(t)
+		addInstance(t, s, func(http.ResponseWriter, *http.Request) {})
 		s.FeedStatusChanged(status)
 		return s
 	}
-	s := started(feed.Status{})
-	require.False(t, served(s))
+	s := newStartedGateway(feed.Status{})
+	require.False(t, serves(s))
 	require.False(t, s.Ready())
 	s.FeedStatusChanged(feed.Status{Confirmed: true})
-	require.True(t, served(s))
+	require.True(t, serves(s))
 
-	s = started(feed.Status{})
-	s.knownAt.Add(-int64(confirmationWait))
-	require.True(t, served(s), "the store may be away for long")
-	require.True(t, served(started(feed.Status{Lost: true})))
+	s = newStartedGateway(feed.Status{})
+	s.instancesKnownAt.Add(-int64(confirmationTimeout))
+	require.True(t, serves(s), "the store may be unavailable for a long time")
+	require.True(t, serves(newStartedGateway(feed.Status{Lost: true})))
 }
