--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -56,7 +56,7 @@
 func refuseIneligible(bar backend.Restriction) *refusal {
 	code := verdict.CodeEvacuated
 	if bar == backend.RestrictedByHomes {
-		code = verdict.CodeNoHome
+		code = verdict.CodeNoInstanceInHome
 	}
 	return refuseFor(code, ineligibleRetry, bar.String())
 }
