--- a/internal/command/replica.go
+++ b/internal/command/replica.go
@@ -26,7 +26,7 @@
 		Annotations: map[string]string{servesUntilStopped: "true"},
 		Use:         "replica",
 		Short:       "Run a replica of turns and charges on a machine with a disk until SIGTERM",
-		Example:     " swiftbank replica --settings replica.yaml",
+		Example:     "  swiftbank replica --settings replica.yaml",
 		Args:        cobra.NoArgs,
 	}
 	flags.add(command)
