--- a/internal/command/load.go
+++ b/internal/command/load.go
@@ -122,7 +122,7 @@
 	client := program.NewClient(f.nodes)
 	defer client.Close()
 	errOut := command.ErrOrStderr()
-	runner := &program.Runner{Client: client, Keys: keys, TryTimeout: f.timeout, Progress: func(done, total int) {
+	runner := &program.Runner{Client: client, Keys: keys, AttemptTimeout: f.timeout, Progress: func(done, total int) {
 		fmt.Fprintf(errOut, "\rprograms %d of %d", done, total)
 	}}
 	ctx, cancel := context.WithCancel(command.Context())
--- a/internal/demo/overhead_test.go
+++ b/internal/demo/overhead_test.go
@@ -47,8 +47,8 @@
 		name := fmt.Sprintf("overhead-%d", i)
 		straight = append(straight, direct(b, deployment.engineAddresses[i%len(deployment.engineAddresses)], name))
 		started := time.Now()
-		answer, err := client.Try(context.Background(), program.Call{
-			Key: examples.Keys["coop-riga"], Session: name, Sequence: 1, IdempotencyKey: name, Template: "rider-assistant",
+		answer, err := client.Send(context.Background(), program.Call{
+			APIKey: examples.Keys["coop-riga"], Session: name, Sequence: 1, IdempotencyKey: name, Template: "rider-assistant",
 			Stream: true, Path: "/v1/chat/completions", Body: []byte(overheadBody),
 		})
 		require.NoError(b, err)
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -47,12 +47,12 @@
 	least := time.Duration(0)
 	for _, call := range result.Calls {
 		least += time.Duration(call.Step.PauseMs) * time.Millisecond
-		if call.Answer == nil {
+		if call.Response == nil {
 			continue
 		}
 		if call.Step.Kind == program.StepEngine {
-			fresh := float64(call.Answer.PromptTokens-call.Answer.CachedTokens) / engineOptions.PrefillTokensPerSecond
-			least += time.Duration(fresh*float64(time.Second)) + time.Duration(call.Answer.CompletionTokens)*engineOptions.TokenInterval
+			fresh := float64(call.Response.PromptTokens-call.Response.CachedTokens) / engineOptions.PrefillTokensPerSecond
+			least += time.Duration(fresh*float64(time.Second)) + time.Duration(call.Response.CompletionTokens)*engineOptions.TokenInterval
 		} else {
 			least += applicationDelay
 		}
@@ -83,10 +83,10 @@
 			if call.Step.Kind == program.StepEngine {
 				continue
 			}
-			if runs[call.Key] == 0 {
+			if runs[call.IdempotencyKey] == 0 {
 				r.Lost++
 			}
-			if call.Step.Unrepeatable && runs[call.Key] > 1 {
+			if call.Step.Unrepeatable && runs[call.IdempotencyKey] > 1 {
 				r.Doubled++
 			}
 		}
@@ -100,7 +100,7 @@
 	for {
 		held := 0
 		for _, engine := range d.Engines {
-			held += len(engine.Holds())
+			held += len(engine.CachedSessions())
 		}
 		if held == 0 || time.Now().After(deadline) {
 			return held
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -200,19 +200,19 @@
 		// An unrepeatable call whose node was killed may end as "may have run".
 		if result.Err != nil {
 			last := result.Calls[len(result.Calls)-1]
-			require.True(t, last.Step.Unrepeatable && last.Answer != nil && last.Answer.Verdict == verdict.MayHaveRun, "%s: %v", result.Program, result.Err)
+			require.True(t, last.Step.Unrepeatable && last.Response != nil && last.Response.Verdict == verdict.MayHaveRun, "%s: %v", result.Program, result.Err)
 		}
 		for _, call := range result.Calls {
 			if call.Step.Kind == program.StepEngine {
-				require.NotEmpty(t, call.Answer.Text, call.Key)
+				require.NotEmpty(t, call.Response.Text, call.IdempotencyKey)
 				continue
 			}
 			if call.Step.Unrepeatable {
-				require.LessOrEqual(t, runs[call.Key], 1, call.Key)
+				require.LessOrEqual(t, runs[call.IdempotencyKey], 1, call.IdempotencyKey)
 			}
-			if call.Answer.Succeeded() {
-				require.GreaterOrEqual(t, runs[call.Key], 1, call.Key)
-				require.Contains(t, call.Answer.Text, fmt.Sprintf("%q", call.Key))
+			if call.Response.Succeeded() {
+				require.GreaterOrEqual(t, runs[call.IdempotencyKey], 1, call.IdempotencyKey)
+				require.Contains(t, call.Response.Text, fmt.Sprintf("%q", call.IdempotencyKey))
 			}
 		}
 	}
@@ -234,7 +234,7 @@
 	defer client.Close()
 	programs := readTrace(t)
 	var once sync.Once
-	runner := &program.Runner{Client: client, Keys: examples.Keys, TryTimeout: 5 * time.Second, Progress: func(done, _ int) {
+	runner := &program.Runner{Client: client, Keys: examples.Keys, AttemptTimeout: 5 * time.Second, Progress: func(done, _ int) {
 		if done < 3 {
 			return
 		}
--- a/internal/program/client.go
+++ b/internal/program/client.go
@@ -19,7 +19,7 @@
 
 // Call is one call as a caller issues it.
 type Call struct {
-	Key            string // the tenant's API key
+	APIKey            string // the tenant's API key
 	Session        string
 	Sequence       int
 	IdempotencyKey string
@@ -33,8 +33,8 @@
 	Body []byte
 }
 
-// Answer is what came of one try at a call.
-type Answer struct {
+// Response is what came of one try at a call.
+type Response struct {
 	Status  int
 	Verdict verdict.Verdict
 	Code    verdict.Code
@@ -50,7 +50,7 @@
 }
 
 // Succeeded reports whether the whole answer arrived.
-func (a *Answer) Succeeded() bool { return a.Verdict == verdict.Ran && a.Code == "" }
+func (a *Response) Succeeded() bool { return a.Verdict == verdict.Ran && a.Code == "" }
 
 // Client sends calls to nodes, each time to the next address in turn.
 type Client struct {
@@ -73,15 +73,15 @@
 	return c.addresses[int(c.next.Add(1))%len(c.addresses)]
 }
 
-// Try sends a call once. An error means that no whole answer came.
-func (c *Client) Try(ctx context.Context, call Call) (*Answer, error) {
+// Send sends a call once. An error means that no whole answer came.
+func (c *Client) Send(ctx context.Context, call Call) (*Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address()+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, fmt.Errorf("caller: %w", err)
 	}
 	header := request.Header
 	header.Set("Content-Type", "application/json")
-	header.Set("Authorization", "Bearer "+call.Key)
+	header.Set("Authorization", "Bearer "+call.APIKey)
 	header.Set(server.HeaderSession, call.Session)
 	header.Set(server.HeaderSequence, strconv.Itoa(call.Sequence))
 	header.Set(server.HeaderIdempotency, call.IdempotencyKey)
@@ -101,8 +101,8 @@
 	return readAnswer(response, started, call)
 }
 
-// End ends a session.
-func (c *Client) End(ctx context.Context, key, session string) error {
+// EndSession ends a session.
+func (c *Client) EndSession(ctx context.Context, key, session string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+c.address()+"/v1/sessions/"+session, nil)
 	if err != nil {
 		return fmt.Errorf("caller: %w", err)
@@ -144,7 +144,7 @@
 	} `json:"error"`
 }
 
-func (a *Answer) takeError(body *answerBody) {
+func (a *Response) takeError(body *answerBody) {
 	a.Code = body.Error.Code
 	a.Verdict = verdict.MayHaveRun
 	if body.Error.Verdict == verdict.NotRun.String() {
@@ -153,7 +153,7 @@
 	a.RetryAfter = time.Duration(body.Error.RetryAfterMs) * time.Millisecond
 }
 
-func (a *Answer) takeUsage(body *answerBody) {
+func (a *Response) takeUsage(body *answerBody) {
 	if body.Usage != nil {
 		a.PromptTokens = body.Usage.PromptTokens
 		a.CachedTokens = body.Usage.Details.CachedTokens
@@ -161,12 +161,12 @@
 	}
 }
 
-func readAnswer(response *http.Response, started time.Time, call Call) (*Answer, error) {
+func readAnswer(response *http.Response, started time.Time, call Call) (*Response, error) {
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, fmt.Errorf("caller: read answer: %w", err)
 	}
-	answer := &Answer{Status: response.StatusCode, FirstByte: time.Since(started), Text: string(content)}
+	answer := &Response{Status: response.StatusCode, FirstByte: time.Since(started), Text: string(content)}
 	answer.Attempt, _ = strconv.Atoi(response.Header.Get(server.HeaderAttempt))
 	if response.Header.Get(server.HeaderVerdict) == verdict.Ran.String() {
 		answer.Verdict = verdict.Ran
@@ -186,8 +186,8 @@
 	return answer, nil
 }
 
-func readStream(response *http.Response, started time.Time) (*Answer, error) {
-	answer := &Answer{Status: response.StatusCode, Verdict: verdict.MayHaveRun, Code: verdict.CodeOutcomeUnknown}
+func readStream(response *http.Response, started time.Time) (*Response, error) {
+	answer := &Response{Status: response.StatusCode, Verdict: verdict.MayHaveRun, Code: verdict.CodeOutcomeUnknown}
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 4096), maxTraceLine)
 	for lines.Scan() {
--- a/internal/program/runner.go
+++ b/internal/program/runner.go
@@ -28,10 +28,10 @@
 	Session  string
 	Tenant   string
 	Sequence int
-	Key      string
+	IdempotencyKey      string
 	Step     Step
-	Answer   *Answer
-	Tries    int
+	Response   *Response
+	Attempts    int
 	Refusals int
 	Latency  time.Duration
 }
@@ -51,9 +51,9 @@
 	Client *Client
 	// Keys maps tenants to their API keys.
 	Keys map[string]string
-	// TryTimeout is how long the runner waits at one node before it asks another;
+	// AttemptTimeout is how long the runner waits at one node before it asks another;
 	// zero means as long as it takes.
-	TryTimeout time.Duration
+	AttemptTimeout time.Duration
 	// Progress is called after each program.
 	Progress func(done, total int)
 }
@@ -130,31 +130,31 @@
 }
 
 func (r *Runner) endOnce(ctx context.Context, current *Program) error {
-	if r.TryTimeout > 0 {
-		limited, cancel := context.WithTimeout(ctx, r.TryTimeout)
+	if r.AttemptTimeout > 0 {
+		limited, cancel := context.WithTimeout(ctx, r.AttemptTimeout)
 		defer cancel()
 		ctx = limited
 	}
-	return r.Client.End(ctx, r.Keys[current.Tenant], current.Session)
+	return r.Client.EndSession(ctx, r.Keys[current.Tenant], current.Session)
 }
 
 // runStep asks for one call until it has its final answer.
 func (r *Runner) runStep(ctx context.Context, current *Program, parent string, sequence int, step Step) (CallResult, error) {
 	key := fmt.Sprintf("%s-%d", current.Session, sequence)
-	result := CallResult{Program: current.Name, Session: current.Session, Tenant: current.Tenant, Sequence: sequence, Key: key, Step: step}
+	result := CallResult{Program: current.Name, Session: current.Session, Tenant: current.Tenant, Sequence: sequence, IdempotencyKey: key, Step: step}
 	call := Call{
-		Key: r.Keys[current.Tenant], Session: current.Session, Sequence: sequence, IdempotencyKey: key,
+		APIKey: r.Keys[current.Tenant], Session: current.Session, Sequence: sequence, IdempotencyKey: key,
 		Template: current.Template, Program: current.Name, ParentProgram: parent,
 		Unrepeatable: step.Unrepeatable, Stream: step.Stream,
 	}
 	call.Path, call.Body = encodeStep(step)
 	started := time.Now()
-	for result.Tries < maxTries {
-		result.Tries++
+	for result.Attempts < maxTries {
+		result.Attempts++
 		answer, err := r.try(ctx, call)
 		delay := cutRetry
 		if err == nil {
-			result.Answer = answer
+			result.Response = answer
 			if answer.Succeeded() || !worthRetry(answer, step) {
 				break
 			}
@@ -166,24 +166,24 @@
 		}
 	}
 	result.Latency = time.Since(started)
-	if result.Answer == nil || !result.Answer.Succeeded() {
-		return result, fmt.Errorf("caller: call %d of program %s failed: %+v", sequence, current.Name, result.Answer)
+	if result.Response == nil || !result.Response.Succeeded() {
+		return result, fmt.Errorf("caller: call %d of program %s failed: %+v", sequence, current.Name, result.Response)
 	}
 	return result, nil
 }
 
-func (r *Runner) try(ctx context.Context, call Call) (*Answer, error) {
-	if r.TryTimeout > 0 {
-		limited, cancel := context.WithTimeout(ctx, r.TryTimeout)
+func (r *Runner) try(ctx context.Context, call Call) (*Response, error) {
+	if r.AttemptTimeout > 0 {
+		limited, cancel := context.WithTimeout(ctx, r.AttemptTimeout)
 		defer cancel()
 		ctx = limited
 	}
-	return r.Client.Try(ctx, call)
+	return r.Client.Send(ctx, call)
 }
 
 // worthRetry reports whether a caller asks again: what did not run and names a
 // time to come back, or is repeatable and nobody knows.
-func worthRetry(answer *Answer, step Step) bool {
+func worthRetry(answer *Response, step Step) bool {
 	if answer.Verdict == verdict.NotRun {
 		return answer.RetryAfter > 0
 	}
--- a/internal/program/summary.go
+++ b/internal/program/summary.go
@@ -56,15 +56,15 @@
 		held := map[string]int64{}
 		for _, call := range result.Calls {
 			summary.addCall(call)
-			if call.Answer == nil || call.Step.Kind != StepEngine {
+			if call.Response == nil || call.Step.Kind != StepEngine {
 				continue
 			}
-			if err := firstBytes.RecordValue(call.Answer.FirstByte.Milliseconds()); err != nil {
+			if err := firstBytes.RecordValue(call.Response.FirstByte.Milliseconds()); err != nil {
 				return summary, fmt.Errorf("summary: %w", err)
 			}
-			prompt += call.Answer.PromptTokens
-			wasted += max(0, min(held[call.Session], call.Answer.PromptTokens)-call.Answer.CachedTokens)
-			held[call.Session] = call.Answer.PromptTokens + call.Answer.CompletionTokens
+			prompt += call.Response.PromptTokens
+			wasted += max(0, min(held[call.Session], call.Response.PromptTokens)-call.Response.CachedTokens)
+			held[call.Session] = call.Response.PromptTokens + call.Response.CompletionTokens
 		}
 	}
 	if prompt > 0 {
@@ -78,9 +78,9 @@
 func (s *Summary) addCall(call CallResult) {
 	s.Calls++
 	s.Refused += call.Refusals
-	s.Retried += max(0, call.Tries-1)
-	if call.Answer != nil {
-		s.TokensUsed[call.Tenant] += call.Answer.PromptTokens + call.Answer.CompletionTokens
+	s.Retried += max(0, call.Attempts-1)
+	if call.Response != nil {
+		s.TokensUsed[call.Tenant] += call.Response.PromptTokens + call.Response.CompletionTokens
 	}
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -100,8 +100,8 @@
 	return copied
 }
 
-// Holds returns the sessions that the engine holds cache for, in order.
-func (e *Engine) Holds() []string {
+// CachedSessions returns the sessions that the engine holds cache for, in order.
+func (e *Engine) CachedSessions() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := slices.Clone(e.recent)
@@ -309,7 +309,7 @@
 }
 
 func (e *Engine) serveHolds(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	writeJSON(w, http.StatusOK, e.Holds())
+	writeJSON(w, http.StatusOK, e.CachedSessions())
 }
 
 func (e *Engine) serveRelease(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
