--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback for tests of processes under a bad
-// network: what it passes on can be delayed, held back in one direction, or reset
-// while the processes on both sides run on.
+// Package faultproxy provides a TCP proxy on loopback that injects network faults in
+// tests: it can delay traffic, hold it back in one direction, reset connections or
+// silently drop their data while the processes on both sides keep running.
 package faultproxy
 
 import (
@@ -13,31 +13,32 @@
 	"swiftbank.dev/swiftbank/internal/wait"
 )
 
-// Condition is the state of the path through a proxy; the zero value passes all.
+// Condition is the network condition that a proxy simulates; the zero value forwards
+// all traffic unchanged.
 type Condition struct {
-	// Delay is added to each piece that is passed on, in both directions.
+	// Delay is added before each chunk is forwarded, in both directions.
 	Delay time.Duration
-	// HoldRequests keeps back what goes to the target; HoldAnswers what comes from it.
-	// Held bytes go on once the condition ends: the path lost nothing, as with a
-	// partition that heals before either side gives up.
+	// HoldRequests holds back data sent to the target, HoldAnswers data sent by it.
+	// Held data is delivered once the condition ends. This simulates a partition that
+	// heals before either side times out.
 	HoldRequests bool
 	HoldAnswers  bool
 	// Refuse resets each new connection.
 	Refuse bool
 }
 
-// direction is one of the two ways through a connection.
+// direction is a direction of traffic through a connection.
 type direction uint8
 
 const (
-	towardsTarget direction = iota
+	toTarget direction = iota
 	fromTarget
 )
 
-// pieceBytes is the most that is passed on at once.
-const pieceBytes = 32 << 10
+// chunkBytes is the maximum chunk size in bytes.
+const chunkBytes = 32 << 10
 
-// Proxy passes connections on to one target. It is safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -47,28 +48,28 @@
 	// changed is closed and replaced at each change of the condition.
 	changed chan struct{}
 	open    map[*net.TCPConn]bool
-	// silent are the connections on which nothing passes any more.
-	silent  map[*net.TCPConn]bool
-	closed  bool
-	running sync.WaitGroup
+	// blackholed holds the blackholed connections, whose data is dropped.
+	blackholed map[*net.TCPConn]bool
+	closed     bool
+	running    sync.WaitGroup
 }
 
-// New starts a proxy on a loopback address of its own.
+// New starts a proxy to the target (host:port) on a free loopback port.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[*net.TCPConn]bool{}, silent: map[*net.TCPConn]bool{}}
+	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[*net.TCPConn]bool{}, blackholed: map[*net.TCPConn]bool{}}
 	p.running.Add(1)
 	go p.accept()
 	return p, nil
 }
 
-// Address returns the host:port under which the target is reached.
+// Address returns the host:port that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the condition, for open connections too.
+// Set replaces the condition, which also applies to open connections.
 func (p *Proxy) Set(condition Condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +78,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset ends all open connections with a reset.
+// Reset closes all open connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,23 +87,23 @@
 	}
 }
 
-// Blackhole makes all open connections silent for good: what comes on either side is taken and
-// lost, and neither side learns of the other's end. New connections work.
+// Blackhole permanently drops all data on the connections that are open now. Neither side
+// sees the other close. New connections are not affected.
 func (p *Proxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for connection := range p.open {
-		p.silent[connection] = true
+		p.blackholed[connection] = true
 	}
 }
 
-func (p *Proxy) isSilent(connection *net.TCPConn) bool {
+func (p *Proxy) isBlackholed(connection *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silent[connection]
+	return p.blackholed[connection]
 }
 
-// Close ends the proxy and its connections and waits for its goroutines.
+// Close stops the proxy, closes its connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -116,7 +117,7 @@
 	p.running.Wait()
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(connection *net.TCPConn) {
 	_ = connection.SetLinger(0)
 	_ = connection.Close()
@@ -135,7 +136,7 @@
 	}
 }
 
-// serve connects one caller with the target until either side ends.
+// serve forwards between one caller and the target until both directions have ended.
 func (p *Proxy) serve(caller *net.TCPConn) {
 	defer p.running.Done()
 	if p.state().Refuse {
@@ -152,11 +153,11 @@
 		return
 	}
 	defer p.forget(caller, target)
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); p.pass(target, caller, towardsTarget) }()
-	go func() { defer both.Done(); p.pass(caller, target, fromTarget) }()
-	both.Wait()
+	var forwarders sync.WaitGroup
+	forwarders.Add(2)
+	go func() { defer forwarders.Done(); p.forward(target, caller, toTarget) }()
+	go func() { defer forwarders.Done(); p.forward(caller, target, fromTarget) }()
+	forwarders.Wait()
 }
 
 func (p *Proxy) track(connections ...*net.TCPConn) bool {
@@ -178,22 +179,23 @@
 	for _, connection := range connections {
 		_ = connection.Close()
 		delete(p.open, connection)
-		delete(p.silent, connection)
+		delete(p.blackholed, connection)
 	}
 }
 
-// pass copies one direction. An end is passed on as an end, a failure as a reset.
-func (p *Proxy) pass(to, from *net.TCPConn, way direction) {
-	piece := make([]byte, pieceBytes)
+// forward forwards one direction. It propagates end of file as a half-close and an error
+// as a reset.
+func (p *Proxy) forward(to, from *net.TCPConn, way direction) {
+	chunk := make([]byte, chunkBytes)
 	for {
-		size, err := from.Read(piece)
-		if p.isSilent(from) {
+		size, err := from.Read(chunk)
+		if p.isBlackholed(from) {
 			if err != nil {
 				return
 			}
 			continue
 		}
-		if size > 0 && !p.passPiece(to, piece[:size], way) {
+		if size > 0 && !p.forwardChunk(to, chunk[:size], way) {
 			reset(from)
 			return
 		}
@@ -208,14 +210,14 @@
 	}
 }
 
-func (p *Proxy) passPiece(to *net.TCPConn, piece []byte, way direction) bool {
+func (p *Proxy) forwardChunk(to *net.TCPConn, chunk []byte, way direction) bool {
 	if delay := p.state().Delay; delay > 0 {
 		wait.For(context.Background(), delay)
 	}
 	if !p.awaitOpen(way) {
 		return false
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
 
@@ -225,11 +227,12 @@
 	return p.condition
 }
 
-// awaitOpen waits while the direction is held back; false means the proxy closed.
+// awaitOpen blocks while the direction is held back. It returns false if the proxy is
+// closed.
 func (p *Proxy) awaitOpen(way direction) bool {
 	for {
 		p.mu.Lock()
-		held := way == towardsTarget && p.condition.HoldRequests || way == fromTarget && p.condition.HoldAnswers
+		held := way == toTarget && p.condition.HoldRequests || way == fromTarget && p.condition.HoldAnswers
 		changed, closed := p.changed, p.closed
 		p.mu.Unlock()
 		if closed {
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers each line with itself.
+// echo starts a server that echoes each line and returns its address.
 func echo(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -51,8 +51,8 @@
 	return connection, bufio.NewReader(connection)
 }
 
-// answered sends a line and hands over what comes back.
-func answered(connection net.Conn, lines *bufio.Reader, line string) <-chan string {
+// sendLine sends a line and returns a channel that delivers the response.
+func sendLine(connection net.Conn, lines *bufio.Reader, line string) <-chan string {
 	got := make(chan string, 1)
 	_, _ = connection.Write([]byte(line + "\n"))
 	go func() {
@@ -62,14 +62,14 @@
 	return got
 }
 
-func TestWhatIsHeldBackGoesOnLater(t *testing.T) {
+func TestHoldDeliversDataLater(t *testing.T) {
 	for name, condition := range map[string]Condition{"requests": {HoldRequests: true}, "answers": {HoldAnswers: true}} {
 		t.Run(name, func(t *testing.T) {
 			proxy := proxyTo(t, echo(t))
 			connection, lines := dial(t, proxy)
-			require.Equal(t, "a\n", <-answered(connection, lines, "a"))
+			require.Equal(t, "a\n", <-sendLine(connection, lines, "a"))
 			proxy.Set(condition)
-			held := answered(connection, lines, "b")
+			held := sendLine(connection, lines, "b")
 			select {
 			case answer := <-held:
 				t.Fatalf("%q came through", answer)
@@ -81,25 +81,25 @@
 	}
 }
 
-func TestAResetEndsOpenConnections(t *testing.T) {
+func TestResetClosesOpenConnections(t *testing.T) {
 	proxy := proxyTo(t, echo(t))
 	connection, lines := dial(t, proxy)
-	require.Equal(t, "a\n", <-answered(connection, lines, "a"))
+	require.Equal(t, "a\n", <-sendLine(connection, lines, "a"))
 	proxy.Reset()
 	_, err := lines.ReadByte()
 	require.Error(t, err)
 	again, lines := dial(t, proxy)
-	require.Equal(t, "b\n", <-answered(again, lines, "b"))
+	require.Equal(t, "b\n", <-sendLine(again, lines, "b"))
 }
 
-func TestASilentConnectionSaysNothingAndNewOnesWork(t *testing.T) {
+func TestBlackholeAffectsOnlyOpenConnections(t *testing.T) {
 	proxy := proxyTo(t, echo(t))
 	connection, lines := dial(t, proxy)
-	require.Equal(t, "a\n", <-answered(connection, lines, "a"))
+	require.Equal(t, "a\n", <-sendLine(connection, lines, "a"))
 	proxy.Blackhole()
-	silent := answered(connection, lines, "b")
+	silent := sendLine(connection, lines, "b")
 	again, fresh := dial(t, proxy)
-	require.Equal(t, "c\n", <-answered(again, fresh, "c"))
+	require.Equal(t, "c\n", <-sendLine(again, fresh, "c"))
 	select {
 	case answer := <-silent:
 		t.Fatalf("%q came through", answer)
@@ -107,10 +107,10 @@
 	}
 }
 
-func TestARefusedConnectionIsReset(t *testing.T) {
+func TestRefuseResetsNewConnections(t *testing.T) {
 	proxy := proxyTo(t, echo(t))
 	proxy.Set(Condition{Refuse: true})
-	// The reset may come while the connection is made, or after that.
+	// The reset may arrive during or after the TCP handshake.
 	connection, err := net.Dial("tcp", proxy.Address())
 	if err == nil {
 		defer connection.Close()
