--- a/internal/standin/application.go
+++ b/internal/standin/application.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Application is a stand-in for an ordinary application or a tool service. It
-// runs whatever it is sent and counts the runs by idempotency key.
+// Application is a stand-in for an application or a tool service. It runs every
+// request it receives and counts the runs by idempotency key.
 type Application struct {
 	name string
-	// delay is how long a request takes.
+	// delay is the simulated duration of a request.
 	delay time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewApplication returns an application that answers after the delay.
+// NewApplication returns an application that responds after the delay.
 func NewApplication(name string, delay time.Duration) *Application {
 	return &Application{name: readableName(name), delay: delay, runs: map[string]int{}}
 }
 
-// Runs returns how often each idempotency key was run.
+// Runs returns the number of runs by idempotency key.
 func (a *Application) Runs() map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return maps.Clone(a.runs)
 }
 
-// ServeHTTP implements http.Handler. GET /runs tells what was run; GET /load
-// reports the load; everything else is a request to run.
+// ServeHTTP implements http.Handler. GET /runs returns the run counts, GET /load
+// the load; every other request is run.
 func (a *Application) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method + " " + r.URL.Path {
 	case "GET /runs":
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins for the systems outside the product:
-// model engines, applications, tools, and the platform's object API and machine
-// list. They speak the same protocols, and count what they ran, so that a test
-// or the demo can check from outside that nothing was lost or doubled.
+// Package standin provides stand-ins for external systems: model engines,
+// applications, tools, and the platform's object API and machine list. They speak
+// the same protocols and count the requests they ran, so that tests and the demo
+// can verify that no request was lost or duplicated.
 package standin
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,17 +15,17 @@
 	"github.com/sourcegraph/conc"
 )
 
-// bytesPerToken is the stand-in's idea of a tokenizer.
+// bytesPerToken approximates a tokenizer.
 const bytesPerToken = 4
 
-// EngineOptions shape an engine's speed and size.
+// EngineOptions configure an engine's speed and capacity.
 type EngineOptions struct {
 	Slots int
-	// PrefillTokensPerSecond is the speed of reading an uncached prompt.
+	// PrefillTokensPerSecond is the prefill rate for uncached prompt tokens.
 	PrefillTokensPerSecond float64
 	// TokenInterval is the time between generated tokens.
 	TokenInterval time.Duration
-	// CacheTokens is the size of the prefix cache.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int64
 }
 
@@ -40,13 +40,13 @@
 	slots   chan struct{}
 	streams map[string]*engineStream
 	cache   map[string]int64
-	// recent lists the cached sessions, the least recently used first.
+	// recent lists the cached sessions from least to most recently used.
 	recent []string
-	// runs counts how often each request id began.
+	// runs counts the generations started, by request id.
 	runs map[string]int
 }
 
-// engineStream is one generation; it outlives the connection that began it.
+// engineStream is one generation. It outlives the connection that started it.
 type engineStream struct {
 	mu     sync.Mutex
 	text   string
@@ -89,7 +89,7 @@
 	return router
 }
 
-// Runs returns how many distinct generations were begun.
+// Runs returns the number of generations started, by request id.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,7 +100,7 @@
 	return copied
 }
 
-// CachedSessions returns the sessions that the engine holds cache for, in order.
+// CachedSessions returns the sessions in the prefix cache, sorted by name.
 func (e *Engine) CachedSessions() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -161,15 +161,16 @@
 	}
 }
 
-// generate plays a generation: it waits for a slot, reads the prompt, and emits tokens.
+// generate simulates a generation: it waits for a slot, prefills the prompt and emits
+// tokens.
 func (e *Engine) generate(stream *engineStream, request chatRequest, session string) {
-	e.count(&e.waiting, 1)
+	e.adjust(&e.waiting, 1)
 	e.slots <- struct{}{}
-	e.count(&e.waiting, -1)
-	e.count(&e.running, 1)
+	e.adjust(&e.waiting, -1)
+	e.adjust(&e.running, 1)
 	defer func() {
 		<-e.slots
-		e.count(&e.running, -1)
+		e.adjust(&e.running, -1)
 	}()
 	prompt := int64(0)
 	digest := fnv.New64a()
@@ -197,13 +198,13 @@
 	stream.finish()
 }
 
-func (e *Engine) count(counter *int, change int) {
+func (e *Engine) adjust(counter *int, change int) {
 	e.mu.Lock()
 	*counter += change
 	e.mu.Unlock()
 }
 
-// pause waits, and reports false when the stream was cancelled.
+// pause waits for d and returns false if the stream was cancelled.
 func (s *engineStream) pause(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -239,7 +240,8 @@
 	return min(e.cache[session], prompt)
 }
 
-// store keeps a session's prefix and evicts the least recently used beyond the limit.
+// store caches a session's prefix and evicts the least recently used sessions while the
+// cache exceeds its capacity.
 func (e *Engine) store(session string, tokens int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -297,7 +299,7 @@
 	writeJSON(w, http.StatusOK, e.load())
 }
 
-// load is what the engine reports of itself.
+// load returns the load report of the engine.
 func (e *Engine) load() map[string]int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -325,5 +327,5 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// readableName keeps names free of characters with a meaning in paths.
+// readableName replaces slashes, which are path separators, in a name.
 func readableName(name string) string { return strings.ReplaceAll(name, "/", "-") }
--- a/internal/standin/listen.go
+++ b/internal/standin/listen.go
@@ -10,8 +10,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Listen serves a handler on an address and returns the address in use and a
-// function that stops serving. Port 0 lets the kernel choose.
+// Listen serves a handler on an address. It returns the listening address and a
+// function that stops the server. With port 0 the kernel chooses a free port.
 func Listen(address string, handler http.Handler) (string, func(), error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -53,14 +53,14 @@
 	})
 }
 
-// SetDown makes every request fail until it is called with false.
+// SetDown makes every request fail with status 503 while down is true.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// SetMachine adds or replaces a line of the machine list.
+// SetMachine adds or replaces an entry of the machine list.
 func (p *Platform) SetMachine(machine objectapi.Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
