--- a/internal/program/client.go
+++ b/internal/program/client.go
@@ -17,9 +17,9 @@
 	"swiftbank.dev/swiftbank/internal/verdict"
 )
 
-// Call is one call as a caller issues it.
+// Call is one request of a caller.
 type Call struct {
-	APIKey            string // the tenant's API key
+	APIKey         string // API key of the tenant
 	Session        string
 	Sequence       int
 	IdempotencyKey string
@@ -33,26 +33,27 @@
 	Body []byte
 }
 
-// Response is what came of one try at a call.
+// Response is the outcome of one attempt at a call.
 type Response struct {
 	Status  int
 	Verdict verdict.Verdict
 	Code    verdict.Code
-	// RetryAfter is when the node says to come back.
+	// RetryAfter is the delay that the node requests before a retry.
 	RetryAfter time.Duration
-	// Text is the completion of an engine call, else the body.
+	// Text is the completion of an engine call, and the body of any other call.
 	Text string
 	// PromptTokens, CachedTokens and CompletionTokens are set for engine calls.
 	PromptTokens, CachedTokens, CompletionTokens int64
-	// FirstByte is when the first byte of the answer arrived.
+	// FirstByte is the time from sending the request to the first event of a stream, or to
+	// the end of a response that is not streamed.
 	FirstByte time.Duration
 	Attempt   int
 }
 
-// Succeeded reports whether the whole answer arrived.
+// Succeeded reports whether the complete response arrived.
 func (a *Response) Succeeded() bool { return a.Verdict == verdict.Ran && a.Code == "" }
 
-// Client sends calls to nodes, each time to the next address in turn.
+// Client sends calls to nodes in round-robin order. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	http      *http.Client
@@ -65,15 +66,15 @@
 	return &Client{addresses: addresses, http: &http.Client{Transport: transport}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// address returns the next node to ask.
+// address returns the address of the next node.
 func (c *Client) address() string {
 	return c.addresses[int(c.next.Add(1))%len(c.addresses)]
 }
 
-// Send sends a call once. An error means that no whole answer came.
+// Send makes one attempt at a call. It returns an error if no complete response arrived.
 func (c *Client) Send(ctx context.Context, call Call) (*Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address()+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
@@ -98,10 +99,10 @@
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
 		return readStream(response, started)
 	}
-	return readAnswer(response, started, call)
+	return readResponse(response, started, call)
 }
 
-// EndSession ends a session.
+// EndSession ends a session of the tenant with the API key.
 func (c *Client) EndSession(ctx context.Context, key, session string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+c.address()+"/v1/sessions/"+session, nil)
 	if err != nil {
@@ -119,8 +120,9 @@
 	return nil
 }
 
-// answerBody holds the fields of a whole answer, of a stream's event, and of an error.
-type answerBody struct {
+// responseBody is the union of the fields of a complete response, of a stream event and of
+// an error.
+type responseBody struct {
 	Choices []struct {
 		Message struct {
 			Content string `json:"content"`
@@ -144,7 +146,7 @@
 	} `json:"error"`
 }
 
-func (a *Response) takeError(body *answerBody) {
+func (a *Response) setError(body *responseBody) {
 	a.Code = body.Error.Code
 	a.Verdict = verdict.MayHaveRun
 	if body.Error.Verdict == verdict.NotRun.String() {
@@ -153,7 +155,7 @@
 	a.RetryAfter = time.Duration(body.Error.RetryAfterMs) * time.Millisecond
 }
 
-func (a *Response) takeUsage(body *answerBody) {
+func (a *Response) setUsage(body *responseBody) {
 	if body.Usage != nil {
 		a.PromptTokens = body.Usage.PromptTokens
 		a.CachedTokens = body.Usage.Details.CachedTokens
@@ -161,25 +163,25 @@
 	}
 }
 
-func readAnswer(response *http.Response, started time.Time, call Call) (*Response, error) {
+func readResponse(response *http.Response, started time.Time, call Call) (*Response, error) {
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, fmt.Errorf("caller: read answer: %w", err)
+		return nil, fmt.Errorf("caller: read response: %w", err)
 	}
 	answer := &Response{Status: response.StatusCode, FirstByte: time.Since(started), Text: string(content)}
 	answer.Attempt, _ = strconv.Atoi(response.Header.Get(server.HeaderAttempt))
 	if response.Header.Get(server.HeaderVerdict) == verdict.Ran.String() {
 		answer.Verdict = verdict.Ran
 	}
-	var body answerBody
+	var body responseBody
 	if json.Unmarshal(content, &body) != nil {
 		return answer, nil
 	}
 	if answer.Verdict != verdict.Ran && body.Error != nil {
-		answer.takeError(&body)
+		answer.setError(&body)
 		return answer, nil
 	}
-	answer.takeUsage(&body)
+	answer.setUsage(&body)
 	if strings.HasPrefix(call.Path, "/v1/chat/") && len(body.Choices) == 1 {
 		answer.Text = body.Choices[0].Message.Content
 	}
@@ -202,21 +204,21 @@
 			answer.Verdict, answer.Code = verdict.Ran, ""
 			return answer, nil
 		}
-		var body answerBody
+		var body responseBody
 		if err := json.Unmarshal([]byte(data), &body); err != nil {
 			return nil, fmt.Errorf("caller: stream event: %w", err)
 		}
 		if body.Error != nil {
-			answer.takeError(&body)
+			answer.setError(&body)
 			return answer, nil
 		}
 		if body.Restart {
 			answer.Text = ""
 		}
-		answer.takeUsage(&body)
+		answer.setUsage(&body)
 		for _, choice := range body.Choices {
 			answer.Text += choice.Delta.Content
 		}
 	}
-	return nil, fmt.Errorf("caller: the stream was cut: %w", io.ErrUnexpectedEOF)
+	return nil, fmt.Errorf("caller: stream ended before [DONE]: %w", io.ErrUnexpectedEOF)
 }
--- a/internal/program/runner.go
+++ b/internal/program/runner.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// maxTries bounds how often a caller asks for one call.
-	maxTries = 60
-	// cutRetry is how long a caller waits after a connection was cut.
-	cutRetry = 100 * time.Millisecond
-	// defaultRetry is how long a caller waits when a refusal names no time.
-	defaultRetry = 200 * time.Millisecond
+	// maxAttempts bounds the attempts at one call.
+	maxAttempts = 60
+	// reconnectDelay is the delay before a retry after a connection failure.
+	reconnectDelay = 100 * time.Millisecond
+	// minRetryDelay is the minimum delay before a retry after a response that was no
+	// success.
+	minRetryDelay = 200 * time.Millisecond
 )
 
-// CallResult is the end of one call of a program.
+// CallResult is the outcome of one call of a program, over all its attempts.
 type CallResult struct {
-	Program  string
-	Session  string
-	Tenant   string
-	Sequence int
-	IdempotencyKey      string
-	Step     Step
-	Response   *Response
-	Attempts    int
-	Refusals int
-	Latency  time.Duration
+	Program        string
+	Session        string
+	Tenant         string
+	Sequence       int
+	IdempotencyKey string
+	Step           Step
+	Response       *Response
+	Attempts       int
+	Refusals       int
+	Latency        time.Duration
 }
 
-// Result is the end of one program.
+// Result is the outcome of one program.
 type Result struct {
 	Program string
 	Tenant  string
 	Latency time.Duration
 	Calls   []CallResult
-	// Err is set when a call got no final answer or a failure.
+	// Err is set if a call failed or got no final response, or the session was not ended.
 	Err error
 }
 
@@ -51,28 +52,29 @@
 	Client *Client
 	// Keys maps tenants to their API keys.
 	Keys map[string]string
-	// AttemptTimeout is how long the runner waits at one node before it asks another;
-	// zero means as long as it takes.
+	// AttemptTimeout is how long the runner waits for a node before it retries at the next;
+	// zero means no timeout.
 	AttemptTimeout time.Duration
-	// Progress is called after each program.
+	// Progress, if set, is called after each program.
 	Progress func(done, total int)
 }
 
-// Run starts each program at its time and waits for all.
+// Run starts each program at its StartMs, waits for all of them and returns their
+// results in the same order.
 func (r *Runner) Run(ctx context.Context, programs []Program) []Result {
 	results := make([]Result, len(programs))
 	started := time.Now()
 	var mu sync.Mutex
 	done := 0
 	var tasks conc.WaitGroup
-	for place := range programs {
+	for index := range programs {
 		tasks.Go(func() {
-			current := &programs[place]
+			current := &programs[index]
 			if !wait.For(ctx, time.Until(started.Add(time.Duration(current.StartMs)*time.Millisecond))) {
-				results[place] = Result{Program: current.Name, Tenant: current.Tenant, Err: ctx.Err()}
+				results[index] = Result{Program: current.Name, Tenant: current.Tenant, Err: ctx.Err()}
 				return
 			}
-			results[place] = r.runProgram(ctx, current, "")
+			results[index] = r.runProgram(ctx, current, "")
 			mu.Lock()
 			defer mu.Unlock()
 			done++
@@ -115,21 +117,21 @@
 	return result
 }
 
-// end ends the program's session, asking again after a cut.
+// end ends the program's session and retries after errors.
 func (r *Runner) end(ctx context.Context, current *Program) error {
 	var err error
-	for range maxTries {
-		if err = r.endOnce(ctx, current); err == nil {
+	for range maxAttempts {
+		if err = r.attemptEnd(ctx, current); err == nil {
 			return nil
 		}
-		if !wait.For(ctx, cutRetry) {
+		if !wait.For(ctx, reconnectDelay) {
 			break
 		}
 	}
 	return err
 }
 
-func (r *Runner) endOnce(ctx context.Context, current *Program) error {
+func (r *Runner) attemptEnd(ctx context.Context, current *Program) error {
 	if r.AttemptTimeout > 0 {
 		limited, cancel := context.WithTimeout(ctx, r.AttemptTimeout)
 		defer cancel()
@@ -138,7 +140,7 @@
 	return r.Client.EndSession(ctx, r.Keys[current.Tenant], current.Session)
 }
 
-// runStep asks for one call until it has its final answer.
+// runStep retries one call until it has a final response or the attempts are used up.
 func (r *Runner) runStep(ctx context.Context, current *Program, parent string, sequence int, step Step) (CallResult, error) {
 	key := fmt.Sprintf("%s-%d", current.Session, sequence)
 	result := CallResult{Program: current.Name, Session: current.Session, Tenant: current.Tenant, Sequence: sequence, IdempotencyKey: key, Step: step}
@@ -149,17 +151,17 @@
 	}
 	call.Path, call.Body = encodeStep(step)
 	started := time.Now()
-	for result.Attempts < maxTries {
+	for result.Attempts < maxAttempts {
 		result.Attempts++
-		answer, err := r.try(ctx, call)
-		delay := cutRetry
+		answer, err := r.attempt(ctx, call)
+		delay := reconnectDelay
 		if err == nil {
 			result.Response = answer
-			if answer.Succeeded() || !worthRetry(answer, step) {
+			if answer.Succeeded() || !shouldRetry(answer, step) {
 				break
 			}
 			result.Refusals++
-			delay = max(answer.RetryAfter, defaultRetry)
+			delay = max(answer.RetryAfter, minRetryDelay)
 		}
 		if !wait.For(ctx, delay) {
 			break
@@ -172,7 +174,7 @@
 	return result, nil
 }
 
-func (r *Runner) try(ctx context.Context, call Call) (*Response, error) {
+func (r *Runner) attempt(ctx context.Context, call Call) (*Response, error) {
 	if r.AttemptTimeout > 0 {
 		limited, cancel := context.WithTimeout(ctx, r.AttemptTimeout)
 		defer cancel()
@@ -181,9 +183,10 @@
 	return r.Client.Send(ctx, call)
 }
 
-// worthRetry reports whether a caller asks again: what did not run and names a
-// time to come back, or is repeatable and nobody knows.
-func worthRetry(answer *Response, step Step) bool {
+// shouldRetry reports whether a caller retries: a call that did not run is retried if the
+// response names a delay; one with an unknown outcome is retried if it is repeatable or
+// the code allows a retry.
+func shouldRetry(answer *Response, step Step) bool {
 	if answer.Verdict == verdict.NotRun {
 		return answer.RetryAfter > 0
 	}
--- a/internal/program/summary.go
+++ b/internal/program/summary.go
@@ -11,28 +11,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longestProgram bounds the latencies that are told apart.
-const longestProgram = 24 * time.Hour
+// maxLatency is the largest latency that the histograms record.
+const maxLatency = 24 * time.Hour
 
-// Summary is what callers saw of a number of programs.
+// Summary aggregates the results of programs as callers saw them.
 type Summary struct {
 	Programs int `json:"programs"`
-	// Failed programs ended without an answer to one of their calls.
+	// Failed counts the programs whose Result has an error.
 	Failed int `json:"failed"`
 	Calls  int `json:"calls"`
-	// The latencies are from the first call to the last byte of the last answer.
+	// ProgramSeconds is over programs, from the first call to the last byte of the last
+	// response.
 	ProgramSeconds Quantiles `json:"programLatencySeconds"`
 	// FirstByteSeconds is over engine calls.
 	FirstByteSeconds Quantiles `json:"firstByteSeconds"`
-	// WastedCacheShare is the part of the prompt tokens that was computed again
-	// although an engine had held it for the session.
+	// WastedCacheShare is the fraction of the prompt tokens that was recomputed although
+	// an earlier call of the session had computed it.
 	WastedCacheShare float64          `json:"wastedCacheShare"`
 	Refused          int              `json:"refused"`
 	Retried          int              `json:"retried"`
 	TokensUsed       map[string]int64 `json:"tokensUsed"`
 }
 
-// Quantiles of a distribution, in seconds.
+// Quantiles holds the mean and quantiles of a distribution, in seconds.
 type Quantiles struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -40,11 +41,11 @@
 	P99  float64 `json:"p99"`
 }
 
-// Summarise sums results up.
+// Summarise aggregates results. It returns an error if a latency is out of range.
 func Summarise(results []Result) (Summary, error) {
 	summary := Summary{Programs: len(results), TokensUsed: map[string]int64{}}
-	latencies := hdrhistogram.New(1, longestProgram.Milliseconds(), 3)
-	firstBytes := hdrhistogram.New(1, longestProgram.Milliseconds(), 3)
+	latencies := hdrhistogram.New(1, maxLatency.Milliseconds(), 3)
+	firstBytes := hdrhistogram.New(1, maxLatency.Milliseconds(), 3)
 	var prompt, wasted int64
 	for _, result := range results {
 		if result.Err != nil {
@@ -53,7 +54,7 @@
 		if err := latencies.RecordValue(result.Latency.Milliseconds()); err != nil {
 			return summary, fmt.Errorf("summary: %w", err)
 		}
-		held := map[string]int64{}
+		cached := map[string]int64{}
 		for _, call := range result.Calls {
 			summary.addCall(call)
 			if call.Response == nil || call.Step.Kind != StepEngine {
@@ -63,8 +64,8 @@
 				return summary, fmt.Errorf("summary: %w", err)
 			}
 			prompt += call.Response.PromptTokens
-			wasted += max(0, min(held[call.Session], call.Response.PromptTokens)-call.Response.CachedTokens)
-			held[call.Session] = call.Response.PromptTokens + call.Response.CompletionTokens
+			wasted += max(0, min(cached[call.Session], call.Response.PromptTokens)-call.Response.CachedTokens)
+			cached[call.Session] = call.Response.PromptTokens + call.Response.CompletionTokens
 		}
 	}
 	if prompt > 0 {
@@ -97,7 +98,7 @@
 	Value any
 }
 
-// Rows returns the summary's lines.
+// Rows returns the summary as table rows.
 func (s *Summary) Rows() []Row {
 	rows := []Row{
 		{"programs", s.Programs},
@@ -120,7 +121,7 @@
 	return fmt.Sprintf("%.2f s / %.2f s / %.2f s", q.P50, q.P95, q.P99)
 }
 
-// PrintRows writes a table.
+// PrintRows writes rows as an aligned table.
 func PrintRows(out io.Writer, rows []Row) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
--- a/internal/program/trace.go
+++ b/internal/program/trace.go
@@ -1,5 +1,5 @@
-// Package program describes agent programs, reads traces of them, and runs them
-// against live nodes as a caller would.
+// Package program defines agent programs, reads them from trace files, and runs them
+// against live nodes as a caller does.
 package program
 
 import (
@@ -11,13 +11,13 @@
 	"strings"
 )
 
-// maxTraceLine bounds one line of a trace.
+// maxTraceLine is the maximum length of a trace line, in bytes.
 const maxTraceLine = 4 << 20
 
 // Program is one chain of dependent calls: one line of a trace file.
 type Program struct {
 	Name string `json:"program"`
-	// StartMs is when the program begins, from the start of the trace.
+	// StartMs is the start time of the program, relative to the start of the trace.
 	StartMs  int64  `json:"start_ms"`
 	Tenant   string `json:"tenant"`
 	Template string `json:"template"`
@@ -26,7 +26,7 @@
 	Steps   []Step `json:"steps"`
 }
 
-// StepKind tells what a step does.
+// StepKind is the kind of a step.
 type StepKind string
 
 // The kinds of step.
@@ -41,7 +41,8 @@
 // Step is one call of a program.
 type Step struct {
 	Kind StepKind `json:"kind"`
-	// PauseMs is waited before the step, as for a tool that the caller runs itself.
+	// PauseMs is the delay before the step, for example for a tool that the caller runs
+	// itself.
 	PauseMs int64 `json:"pause_ms,omitempty"`
 	// Prompt is the user message of an engine step.
 	Prompt    string `json:"prompt,omitempty"`
@@ -56,8 +57,8 @@
 	Program *Program `json:"sub_program,omitempty"`
 }
 
-// ReadTrace reads a trace: one JSON object a line, blank lines and lines that
-// begin with # left out. Faults name the line.
+// ReadTrace reads a trace: one JSON object per line. It skips blank lines and lines
+// that begin with #. Errors contain the line number.
 func ReadTrace(reader io.Reader) ([]Program, error) {
 	var programs []Program
 	lines := bufio.NewScanner(reader)
@@ -67,16 +68,16 @@
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
-		var read Program
+		var parsed Program
 		decoder := json.NewDecoder(strings.NewReader(text))
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&read); err != nil {
+		if err := decoder.Decode(&parsed); err != nil {
 			return nil, fmt.Errorf("trace: line %d: %w", number, err)
 		}
-		if err := read.check(); err != nil {
+		if err := parsed.check(); err != nil {
 			return nil, fmt.Errorf("trace: line %d: %w", number, err)
 		}
-		programs = append(programs, read)
+		programs = append(programs, parsed)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -91,9 +92,9 @@
 	if p.Session == "" {
 		p.Session = p.Name
 	}
-	for place := range p.Steps {
-		if err := p.Steps[place].check(p); err != nil {
-			return fmt.Errorf("step %d: %w", place+1, err)
+	for index := range p.Steps {
+		if err := p.Steps[index].check(p); err != nil {
+			return fmt.Errorf("step %d: %w", index+1, err)
 		}
 	}
 	return nil
