--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e tests the product from outside: it builds the binaries, runs each
-// part as a process of its own, and kills and freezes processes under load.
+// Package e2e holds end-to-end tests: they build the binaries, run each component as a
+// separate process, and kill and freeze processes under load.
 package e2e
--- a/internal/e2e/fleet_cases_test.go
+++ b/internal/e2e/fleet_cases_test.go
@@ -19,32 +19,32 @@
 
 func TestFleet(t *testing.T) {
 	f := startFleet(t)
-	t.Run("a chain of turns forks and moves between gateways", f.testChain)
-	t.Run("a stream that breaks off is resumed within one answer", f.testResume)
-	t.Run("a stream is resumed by the instance that ran it", f.testResumeStays)
-	t.Run("a stream leaves an instance whose process has ended", f.testResumeLeaves)
-	t.Run("a stream stays with an instance that gives nothing any more", f.testResumeWaits)
-	t.Run("the configuration's limits hold", f.testLimits)
-	t.Run("a spent budget ends in 402 and the turn does not run", f.testBudget)
-	t.Run("an unsafe call whose answer is lost runs once", f.testLostAnswer)
-	t.Run("a refused call goes to another instance", f.testRefused)
-	t.Run("a safe call leaves an instance that fell silent", f.testSilent)
-	t.Run("a caller that leaves ends the work of the engine", f.testCallerLeaves)
-	t.Run("a route moves under load", f.testRouteMoves)
-	t.Run("turns outlive a lost disk", f.testLostDisk)
-	t.Run("turns outlive the loss of all processes", f.testAllKilled)
-	t.Run("without an instance a stream is refused once, in time", f.testNoInstance)
-	t.Run("a planned stop cuts nothing off", f.testPlannedStop)
-	t.Run("a planned stop under load leaves no request without an answer", f.testStopUnderLoad)
-	t.Run("a store that is down at start", f.testStoreDownAtStart)
-	t.Run("a fleet starts from copies while the store is down", f.testStartFromCopy)
-	t.Run("a machine is emptied under load", f.testRetirement)
+	t.Run("turns fork and continue at another gateway", f.testChain)
+	t.Run("interrupted stream resumes within the response", f.testResume)
+	t.Run("stream resumes at the instance that ran it", f.testResumeSameInstance)
+	t.Run("stream resumes elsewhere after the instance exits", f.testResumeAfterInstanceExit)
+	t.Run("stream does not leave an unresponsive instance", f.testResumeUnresponsiveInstance)
+	t.Run("request size limits are enforced", f.testLimits)
+	t.Run("turn over budget returns 402 and does not run", f.testBudget)
+	t.Run("unsafe call with a lost response runs once", f.testLostAnswer)
+	t.Run("refused call is retried at another instance", f.testRetryAfterRefusal)
+	t.Run("safe call is retried after an instance stops responding", f.testUnresponsiveInstance)
+	t.Run("client disconnect cancels the request at the back end", f.testClientDisconnect)
+	t.Run("route changes service under load", f.testRouteChangesService)
+	t.Run("turns survive a lost disk", f.testLostDisk)
+	t.Run("turns survive a kill of all processes", f.testAllKilled)
+	t.Run("stream is refused within its deadline when all instances refuse", f.testNoInstance)
+	t.Run("graceful stop finishes open streams", f.testPlannedStop)
+	t.Run("graceful stop under load answers every request that ran", f.testStopUnderLoad)
+	t.Run("gateway starts while the store is down", f.testStoreDownAtStart)
+	t.Run("fleet starts from copies while the store is down", f.testStartFromCopy)
+	t.Run("machine is retired under load", f.testRetirement)
 }
 
 func (f *fleet) testChain(t *testing.T) {
 	program := f.newID()
-	turn := func(gateway *member, previous, body string) answered {
-		got := f.turn(gateway, turnRequest{path: "/chat/t", program: program, previous: previous, budget: 5000, most: 50, body: body})
+	turn := func(gateway *member, previous, body string) exchangeResult {
+		got := f.turn(gateway, turnRequest{path: "/chat/t", program: program, previous: previous, budget: 5000, maxTokens: 50, body: body})
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 		return got
@@ -59,7 +59,7 @@
 	require.Equal(t, history+"right|", runsOf(right.id, f.engines)[0].Body)
 	require.NotEmpty(t, right.header.Get("X-Server-Signature"))
 
-	unknown := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, previous: "00000000deadbeef", budget: 5000, most: 50, body: "x"})
+	unknown := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, previous: "00000000deadbeef", budget: 5000, maxTokens: 50, body: "x"})
 	require.Equal(t, http.StatusServiceUnavailable, unknown.status)
 	require.NotEmpty(t, unknown.header.Get("Retry-After"))
 	require.Empty(t, runsOf(unknown.id, f.engines))
@@ -76,7 +76,7 @@
 		engine.SetBehaviour(cut)
 		defer engine.SetBehaviour(nil)
 	}
-	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
+	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, maxTokens: 50, body: "plan"})
 	require.NoError(t, got.err)
 	require.Equal(t, http.StatusOK, got.status)
 	for number := 1; number <= f.engines[0].Events; number++ {
@@ -84,9 +84,9 @@
 	}
 	runs := runsOf(got.id, f.engines)
 	require.Len(t, runs, 2)
-	require.Equal(t, 2, max(runs[0].LastEvent, runs[1].LastEvent), "the second run goes on behind the last whole event")
+	require.Equal(t, 2, max(runs[0].LastEvent, runs[1].LastEvent), "the second run must resume after the last complete event")
 
-	// A stream that is resumed behind its last event has a head and no events.
+	// A stream resumed after its last event has headers and no events.
 	header := http.Header{"Last-Event-Id": {fmt.Sprint(f.engines[0].Events)}, "X-Token-Count": {"10,50"}}
 	end := f.post(f.gateways[0], agentHost, "/plan/t", header, "plan")
 	require.Equal(t, http.StatusOK, end.status)
@@ -94,9 +94,9 @@
 	require.Empty(t, end.body)
 }
 
-// testResumeStays cuts streams of a route that allows one instance for a request: it is the one
-// that ran it that goes on.
-func (f *fleet) testResumeStays(t *testing.T) {
+// testResumeSameInstance interrupts streams of a route that allows one instance per request. The
+// instance that ran the request must resume it.
+func (f *fleet) testResumeSameInstance(t *testing.T) {
 	for range 8 {
 		var once sync.Once
 		for _, engine := range f.engines {
@@ -107,7 +107,7 @@
 			})
 			defer engine.SetBehaviour(nil)
 		}
-		got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
+		got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, maxTokens: 50, body: "plan"})
 		require.Equal(t, http.StatusOK, got.status)
 		ran := 0
 		for _, engine := range f.engines {
@@ -116,36 +116,38 @@
 				require.Len(t, runs, 2)
 			}
 		}
-		require.Equal(t, 1, ran, "another instance ran the request as well")
+		require.Equal(t, 1, ran, "the request must run on one instance")
 	}
 }
 
-// testResumeLeaves cuts a stream at an instance whose process then ends: the stream goes on
-// elsewhere, though the route allows one instance.
-func (f *fleet) testResumeLeaves(t *testing.T) {
+// testResumeAfterInstanceExit interrupts a stream at an instance that then refuses connections, as
+// after its process exits. The stream must resume at another instance, although the route allows one
+// instance per request.
+func (f *fleet) testResumeAfterInstanceExit(t *testing.T) {
 	var once sync.Once
-	ended := -1
+	exited := -1
 	for index, engine := range f.engines {
 		engine.SetBehaviour(func(*http.Request) platformtest.Behaviour {
 			var behaviour platformtest.Behaviour
 			once.Do(func() {
-				ended, behaviour.CutAfter = index, 1
+				exited, behaviour.CutAfter = index, 1
 				engine.Refuse()
 			})
 			return behaviour
 		})
 		defer engine.SetBehaviour(nil)
 	}
-	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
+	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, maxTokens: 50, body: "plan"})
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, f.engines[0].Events, strings.Count(got.body, "\n\n"))
-	f.store.Delete("servers", f.engines[ended].ID)
-	f.engines[ended] = f.newBackEnd(f.engines[ended].ID+"-again", "llm", zones[ended%len(zones)])
+	f.store.Delete("servers", f.engines[exited].ID)
+	f.engines[exited] = f.newBackEnd(f.engines[exited].ID+"-again", "llm", zones[exited%len(zones)])
 }
 
-// testResumeWaits cuts streams at instances that then end each request without an answer and
-// accept connections: they are not known to be gone, and nobody else may run the request.
-func (f *fleet) testResumeWaits(t *testing.T) {
+// testResumeUnresponsiveInstance interrupts a stream, after which the instances accept connections
+// but close every request without a response. Such an instance may still be running, so no other
+// instance may run the request.
+func (f *fleet) testResumeUnresponsiveInstance(t *testing.T) {
 	var once sync.Once
 	for _, engine := range f.engines {
 		engine.SetBehaviour(func(*http.Request) platformtest.Behaviour {
@@ -155,15 +157,15 @@
 		})
 		defer engine.SetBehaviour(nil)
 	}
-	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, most: 50, body: "plan"})
-	require.Error(t, got.err, "the answer ends without the stream's end")
+	got := f.turn(f.gateways[0], turnRequest{path: "/plan/t", program: f.newID(), budget: 5000, maxTokens: 50, body: "plan"})
+	require.Error(t, got.err, "the response must break off")
 	ran := 0
 	for _, engine := range f.engines {
 		if len(runsOf(got.id, []*platformtest.Engine{engine})) > 0 {
 			ran++
 		}
 	}
-	require.Equal(t, 1, ran, "more instances ran the request than its route allows")
+	require.Equal(t, 1, ran, "the request must run on one instance")
 }
 
 func (f *fleet) testBudget(t *testing.T) {
@@ -172,11 +174,11 @@
 	previous := ""
 	for turn := range 3 {
 		gateway := f.gateways[turn%len(f.gateways)]
-		got := f.turn(gateway, turnRequest{path: "/chat/t", program: program, previous: previous, budget: 3*spent + 20, most: 50, body: "x"})
+		got := f.turn(gateway, turnRequest{path: "/chat/t", program: program, previous: previous, budget: 3*spent + 20, maxTokens: 50, body: "x"})
 		require.Equal(t, http.StatusOK, got.status, got.body)
 		previous = got.id
 	}
-	refused := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: previous, budget: 3*spent + 20, most: 50, body: "x"})
+	refused := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: previous, budget: 3*spent + 20, maxTokens: 50, body: "x"})
 	require.Equal(t, http.StatusPaymentRequired, refused.status)
 	require.Empty(t, runsOf(refused.id, f.engines))
 }
@@ -210,7 +212,7 @@
 	require.Equal(t, http.StatusBadGateway, forged.status)
 }
 
-func (f *fleet) testRefused(t *testing.T) {
+func (f *fleet) testRetryAfterRefusal(t *testing.T) {
 	f.apps[0].SetBehaviour(func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{Refuse: true} })
 	defer f.apps[0].SetBehaviour(nil)
 	for range 4 {
@@ -220,11 +222,12 @@
 	}
 }
 
-// load sends calls until stop is closed and returns those that did not succeed.
-func (f *fleet) load(host, path string, header http.Header, stop <-chan struct{}) (failed func() []answered) {
+// startLoad sends calls until stop is closed. The returned function waits for them and returns
+// the ones that failed.
+func (f *fleet) startLoad(host, path string, header http.Header, stop <-chan struct{}) (failed func() []exchangeResult) {
 	const callers = 4
 	var mu sync.Mutex
-	var all []answered
+	var failures []exchangeResult
 	var running sync.WaitGroup
 	for caller := range callers {
 		running.Go(func() {
@@ -238,33 +241,33 @@
 				got := exchange(f.gateways[number%len(f.gateways)], id, host, path, header, "x")
 				if got.err != nil || got.status != http.StatusOK {
 					mu.Lock()
-					all = append(all, got)
+					failures = append(failures, got)
 					mu.Unlock()
 				}
 			}
 		})
 	}
-	return func() []answered { running.Wait(); return all }
+	return func() []exchangeResult { running.Wait(); return failures }
 }
 
-func (f *fleet) testRouteMoves(t *testing.T) {
-	moved := platformtest.NewEngine("i-moved-1")
-	f.t.Cleanup(moved.Close)
-	f.moved = moved
-	f.store.Put("servers", moved.ID, moved.Entry("apps-2", zones[0], "ready"))
+func (f *fleet) testRouteChangesService(t *testing.T) {
+	rerouted := platformtest.NewEngine("i-moved-1")
+	f.t.Cleanup(rerouted.Close)
+	f.reroutedApp = rerouted
+	f.store.Put("servers", rerouted.ID, rerouted.Entry("apps-2", zones[0], "ready"))
 	next := f.config.Clone(5)
 	next.Services = append(next.Services, map[string]any{"name": "apps-2", "connection_limit": 100})
 	next.Routes[3]["service"] = "apps-2"
 	stop := make(chan struct{})
-	failed := f.load(appsHost, "/charge/m", nil, stop)
+	failed := f.startLoad(appsHost, "/charge/m", nil, stop)
 	require.Eventually(t, func() bool { return len(f.apps[0].Runs()) > 20 }, 20*time.Second, 5*time.Millisecond)
 	f.store.Put("config", "main", next)
-	require.Eventually(t, func() bool { return len(moved.Runs()) > 40 }, 20*time.Second, 5*time.Millisecond)
-	// An older version that turns up late changes nothing.
+	require.Eventually(t, func() bool { return len(rerouted.Runs()) > 40 }, 20*time.Second, 5*time.Millisecond)
+	// An older configuration version that arrives late is ignored.
 	f.store.Put("config", "main", f.config)
 	before := len(f.apps[0].Runs()) + len(f.apps[1].Runs())
-	count := len(moved.Runs())
-	require.Eventually(t, func() bool { return len(moved.Runs()) > count+40 }, 20*time.Second, 5*time.Millisecond)
+	count := len(rerouted.Runs())
+	require.Eventually(t, func() bool { return len(rerouted.Runs()) > count+40 }, 20*time.Second, 5*time.Millisecond)
 	require.Equal(t, before, len(f.apps[0].Runs())+len(f.apps[1].Runs()))
 	close(stop)
 	require.Empty(t, failed())
@@ -273,31 +276,31 @@
 
 func (f *fleet) testLostDisk(t *testing.T) {
 	program := f.newID()
-	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 9000, most: 50, body: "kept|"})
+	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 9000, maxTokens: 50, body: "kept|"})
 	require.Equal(t, http.StatusOK, first.status)
-	for _, lost := range f.replicas {
-		f.kill(lost)
-		require.NoError(t, os.RemoveAll(filepath.Join(lost.data, "ledger")))
-		f.start(lost)
-		// The machine votes again once it is a voter under its new disk.
-		require.Eventually(t, func() bool { return f.voterOnNewDisk(lost) }, time.Minute, 50*time.Millisecond)
-		require.Eventually(t, func() bool { return f.holds(lost, first.id) }, time.Minute, 50*time.Millisecond)
-	}
-	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 9000, most: 50, body: "on|"})
+	for _, wiped := range f.replicas {
+		f.kill(wiped)
+		require.NoError(t, os.RemoveAll(filepath.Join(wiped.dataFolder, "ledger")))
+		f.start(wiped)
+		// The machine votes again only once its new disk is a voter in the replica set.
+		require.Eventually(t, func() bool { return f.voterOnNewDisk(wiped) }, time.Minute, 50*time.Millisecond)
+		require.Eventually(t, func() bool { return f.hasTurnOnDisk(wiped, first.id) }, time.Minute, 50*time.Millisecond)
+	}
+	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 9000, maxTokens: 50, body: "on|"})
 	require.Equal(t, http.StatusOK, next.status, next.body)
 	require.Equal(t, "kept|"+f.engines[0].EventData(first.id)+"on|", runsOf(next.id, f.engines)[0].Body)
 }
 
-// voterOnNewDisk reports whether the replica's last start ended in the replica set.
+// voterOnNewDisk reports whether the replica has become a voter since its last start.
 func (f *fleet) voterOnNewDisk(m *member) bool {
 	log := m.log.String()
 	last := log[strings.LastIndex(log, `"event":"start"`):]
 	return strings.Contains(last, `"voter":true`)
 }
 
-// holds reports whether the replica's log on disk names the turn.
-func (f *fleet) holds(m *member, id string) bool {
-	files, _ := filepath.Glob(filepath.Join(m.data, "ledger", "*.log"))
+// hasTurnOnDisk reports whether the replica's log on disk contains the turn.
+func (f *fleet) hasTurnOnDisk(m *member, id string) bool {
+	files, _ := filepath.Glob(filepath.Join(m.dataFolder, "ledger", "*.log"))
 	for _, file := range files {
 		content, err := os.ReadFile(file)
 		if err == nil && strings.Contains(string(content), id) {
@@ -309,7 +312,7 @@
 
 func (f *fleet) testAllKilled(t *testing.T) {
 	program := f.newID()
-	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 100, most: 50, body: "kept|"})
+	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 100, maxTokens: 50, body: "kept|"})
 	require.Equal(t, http.StatusOK, first.status)
 	all := f.members()
 	for _, m := range all {
@@ -322,11 +325,11 @@
 		f.awaitReady(gateway)
 	}
 	f.awaitTurn()
-	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 100, most: 50, body: "on|"})
+	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 100, maxTokens: 50, body: "on|"})
 	require.Equal(t, http.StatusOK, next.status, next.body)
 	require.Equal(t, "kept|"+f.engines[0].EventData(first.id)+"on|", runsOf(next.id, f.engines)[0].Body)
-	// 40 + 40 of 100 are spent: what was counted before the loss still counts.
-	refused := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, previous: next.id, budget: 100, most: 50, body: "x"})
+	// 40 + 40 of 100 tokens are spent: usage from before the kill still counts.
+	refused := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, previous: next.id, budget: 100, maxTokens: 50, body: "x"})
 	require.Equal(t, http.StatusPaymentRequired, refused.status)
 }
 
@@ -335,14 +338,14 @@
 		engine.Gap = 200 * time.Millisecond
 		defer func() { engine.Gap = 0 }()
 	}
-	results := make(chan answered, 1)
+	results := make(chan exchangeResult, 1)
 	id := f.newID()
 	go func() {
 		results <- exchange(f.gateways[0], id, agentHost, "/plan/t", http.Header{"X-Token-Count": {"10,50"}}, "x")
 	}()
 	require.Eventually(t, func() bool { return len(runsOf(id, f.engines)) == 1 }, 10*time.Second, 5*time.Millisecond)
 	require.NoError(t, f.gateways[0].command.Process.Signal(syscall.SIGTERM))
-	require.Eventually(t, func() bool { return status("http://"+f.gateways[0].ready+"/readiness") != http.StatusOK }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return status("http://"+f.gateways[0].readyAddress+"/readiness") != http.StatusOK }, 10*time.Second, 5*time.Millisecond)
 	got := <-results
 	require.NoError(t, got.err)
 	require.Contains(t, got.body, fmt.Sprintf("id: %d\n", f.engines[0].Events))
@@ -361,16 +364,16 @@
 		got := f.post(f.gateways[0], appsHost, "/charge/a", nil, "x")
 		return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 	}, 20*time.Second, 20*time.Millisecond)
-	require.NotEqual(t, http.StatusOK, status("http://"+f.gateways[0].ready+"/readiness"))
-	// The gateway that was there before goes on.
-	other := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: f.newID(), budget: 500, most: 50, body: "x"})
+	require.NotEqual(t, http.StatusOK, status("http://"+f.gateways[0].readyAddress+"/readiness"))
+	// The gateway that was already running keeps serving.
+	other := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: f.newID(), budget: 500, maxTokens: 50, body: "x"})
 	require.Equal(t, http.StatusOK, other.status, other.body)
 	f.store.SetFault(nil)
 	f.awaitReady(f.gateways[0])
 }
 
-// testStartFromCopy takes all processes and the store away at once: what starts then
-// serves from the replicas' copies, and follows the store when it is back.
+// testStartFromCopy kills all processes while the store is down. The restarted processes must
+// serve from the replicas' copies and follow the store once it is available again.
 func (f *fleet) testStartFromCopy(t *testing.T) {
 	f.store.SetFault(func(*http.Request) platformtest.Fault {
 		return platformtest.Fault{Status: http.StatusServiceUnavailable}
@@ -389,18 +392,18 @@
 	call := f.post(f.gateways[0], appsHost, "/charge/a", nil, "x")
 	require.Equal(t, http.StatusOK, call.status, call.body)
 	unknown := f.post(f.gateways[0], appsHost, "/nowhere/", nil, "x")
-	require.Equal(t, http.StatusServiceUnavailable, unknown.status, "a copy may lack the newest routes")
+	require.Equal(t, http.StatusServiceUnavailable, unknown.status, "a copy may lack the newest routes, so the gateway must not return 404")
 	f.store.SetFault(nil)
 	require.Eventually(t, func() bool {
 		return f.post(f.gateways[0], appsHost, "/nowhere/", nil, "x").status == http.StatusNotFound
-	}, time.Minute, 50*time.Millisecond, "the store's own word counts again")
+	}, time.Minute, 50*time.Millisecond, "the gateway must use the store's configuration again")
 }
 
-// seedGateways gives the gateways the replicas' copies to start from.
+// seedGateways adds the replicas' copy addresses to the settings of the gateways.
 func (f *fleet) seedGateways() {
 	seeds := "seeds:\n"
 	for _, replica := range f.replicas {
-		seeds += "  - " + replica.copies + "\n"
+		seeds += "  - " + replica.copyAddress + "\n"
 	}
 	for _, gateway := range f.gateways {
 		content, err := os.ReadFile(gateway.settings)
@@ -409,8 +412,8 @@
 	}
 }
 
-// testStopUnderLoad keeps connections busy while the gateway stops: whatever an
-// instance ran has an answer.
+// testStopUnderLoad keeps connections busy while a gateway stops. Every request that ran at an
+// instance must get a response.
 func (f *fleet) testStopUnderLoad(t *testing.T) {
 	const callers = 8
 	var mu sync.Mutex
@@ -427,7 +430,7 @@
 				default:
 				}
 				id := fmt.Sprintf("%08x%08x", 0xabc0+caller, number)
-				if !f.kept(client, id) {
+				if !f.postKeepAlive(client, id) {
 					mu.Lock()
 					failed = append(failed, id)
 					mu.Unlock()
@@ -441,14 +444,14 @@
 	close(stop)
 	running.Wait()
 	for _, id := range failed {
-		require.Empty(t, f.runsOfApps(id), "request %s ran and got no answer", id)
+		require.Empty(t, f.runsOfApps(id), "request %s ran without a response", id)
 	}
 	f.start(f.gateways[0])
 	f.awaitReady(f.gateways[0])
 }
 
-// kept sends a call over the client's kept connection.
-func (f *fleet) kept(client *http.Client, id string) bool {
+// postKeepAlive sends a call over the client's keep-alive connection and reports whether it succeeded.
+func (f *fleet) postKeepAlive(client *http.Client, id string) bool {
 	request, err := http.NewRequest(http.MethodPost, "http://"+f.gateways[0].address+"/charge/k", strings.NewReader("x"))
 	if err != nil {
 		return false
@@ -465,12 +468,12 @@
 	return err == nil && response.StatusCode == http.StatusOK
 }
 
-// calledApps are the instances that calls may have gone to, moved routes included.
+// calledApps returns the instances that may have run calls, including those of rerouted services.
 func (f *fleet) calledApps() []*platformtest.Engine {
-	if f.moved == nil {
+	if f.reroutedApp == nil {
 		return f.apps
 	}
-	return append([]*platformtest.Engine{f.moved}, f.apps...)
+	return append([]*platformtest.Engine{f.reroutedApp}, f.apps...)
 }
 
 func (f *fleet) appRuns() int {
@@ -485,10 +488,10 @@
 
 func (f *fleet) testRetirement(t *testing.T) {
 	program := f.newID()
-	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 9000, most: 50, body: "kept|"})
+	first := f.turn(f.gateways[0], turnRequest{path: "/chat/t", program: program, budget: 9000, maxTokens: 50, body: "kept|"})
 	require.Equal(t, http.StatusOK, first.status, first.body)
 	stop := make(chan struct{})
-	failed := f.load(agentHost, "/chat/load", http.Header{"X-Token-Count": {"10,50"}}, stop)
+	failed := f.startLoad(agentHost, "/chat/load", http.Header{"X-Token-Count": {"10,50"}}, stop)
 	leaving := f.replicas[2]
 	f.store.Put("retirements", leaving.name, map[string]any{"duration_s": 10})
 	require.Eventually(t, func() bool {
@@ -498,12 +501,12 @@
 	f.kill(leaving)
 	close(stop)
 	require.Empty(t, failed())
-	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 9000, most: 50, body: "on|"})
+	next := f.turn(f.gateways[1], turnRequest{path: "/chat/t", program: program, previous: first.id, budget: 9000, maxTokens: 50, body: "on|"})
 	require.Equal(t, http.StatusOK, next.status, next.body)
 }
 
-// testNoInstance has every engine refuse: the turn ends in one refusal that says
-// when to come back, after a bounded number of sends.
+// testNoInstance makes every engine refuse. The request must be refused with a Retry-After
+// header after a bounded number of attempts.
 func (f *fleet) testNoInstance(t *testing.T) {
 	var mu sync.Mutex
 	sends := 0
@@ -524,9 +527,9 @@
 	require.Less(t, sends, 500)
 }
 
-// testSilent has one instance take requests and say nothing: safe calls end at the
-// other one, unsafe ones stay.
-func (f *fleet) testSilent(t *testing.T) {
+// testUnresponsiveInstance makes one instance accept requests without responding. Safe calls must
+// be retried at the other instance.
+func (f *fleet) testUnresponsiveInstance(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	f.apps[0].SetBehaviour(func(*http.Request) platformtest.Behaviour { return platformtest.Behaviour{Hold: hold} })
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -23,23 +23,23 @@
 	appsHost  = "apps.test"
 )
 
-// fleetLayout says how many processes and stand-ins a fleet has.
+// fleetLayout configures the processes and stand-ins of a fleet.
 type fleetLayout struct {
 	gateways, replicas, engines, apps int
-	// proxied puts a proxy before each replica, each back end, and each process's way
-	// to the store.
+	// proxied puts a fault proxy in front of each replica and each back end, and between
+	// each process and the store.
 	proxied bool
-	// settings are lines that are added to the settings of every process.
+	// settings are YAML lines added to the settings of every process.
 	settings string
-	// gatewaySettings are lines that are added to the settings of gateways.
+	// gatewaySettings are YAML lines added to the settings of every gateway.
 	gatewaySettings string
-	// quotaSlack is how many requests a tenant's count may exceed its limit by.
+	// quotaSlack is the number of requests by which a tenant may exceed its limit.
 	quotaSlack int
-	// regions maps the zones to regions; nil names none.
+	// regions maps zones to regions; nil configures no regions.
 	regions map[string]string
 }
 
-// regionSettings returns the settings that name the regions.
+// regionSettings returns the settings lines that map zones to regions.
 func (l fleetLayout) regionSettings() string {
 	if l.regions == nil {
 		return ""
@@ -51,7 +51,8 @@
 	return settings
 }
 
-// fleet is gateways and replicas as processes before the platform's stand-ins.
+// fleet is a deployment of gateway and replica processes with stand-ins for the store
+// and the back ends.
 type fleet struct {
 	t        *testing.T
 	folder   string
@@ -62,34 +63,35 @@
 	config   platformtest.Configuration
 	gateways []*member
 	replicas []*member
-	number   int
-	// moved runs the calls of the route that was moved.
-	moved *platformtest.Engine
-	// backEndPaths are the proxies before the back ends, by their ids.
-	backEndPaths map[string]*faultproxy.Proxy
+	lastID   int
+	// reroutedApp serves the calls of the route that testRouteChangesService reroutes.
+	reroutedApp *platformtest.Engine
+	// backEndProxies are the proxies in front of the back ends, by back end id.
+	backEndProxies map[string]*faultproxy.Proxy
 }
 
-// member is one process with what is needed to start it again.
+// member is a process of the fleet, with the state needed to restart it.
 type member struct {
-	name     string
-	verb     string
-	settings string
-	address  string
-	ready    string
-	metrics  string
-	data     string
-	// copies is where a replica hands out its copy of what the store last said.
-	copies  string
-	command *exec.Cmd
-	// lives is how often the process was started.
-	lives int
+	name           string
+	subcommand     string
+	settings       string
+	address        string
+	readyAddress   string
+	metricsAddress string
+	dataFolder     string
+	// copyAddress is where a replica serves its copy of the store's content.
+	copyAddress string
+	command     *exec.Cmd
+	// starts counts how often the process was started.
+	starts int
 	// log is the output of all its lives, logFrom where that of the present one begins.
-	log     *lockedBuffer
-	logFrom int
-	exited  chan error
-	// storePath and peerPath are the proxies on its ways, where the fleet is proxied.
-	storePath *faultproxy.Proxy
-	peerPath  *faultproxy.Proxy
+	log      *lockedBuffer
+	logStart int
+	exited   chan error
+	// storeProxy and peerProxy are the proxies to the store and to this process; they are
+	// nil unless the layout is proxied.
+	storeProxy *faultproxy.Proxy
+	peerProxy  *faultproxy.Proxy
 }
 
 func baseConfiguration() platformtest.Configuration {
@@ -121,11 +123,11 @@
 }
 
 func startFleet(t *testing.T) *fleet {
-	return startFleetOf(t, fleetLayout{gateways: 2, replicas: 3, engines: 2, apps: 2})
+	return startFleetWith(t, fleetLayout{gateways: 2, replicas: 3, engines: 2, apps: 2})
 }
 
-func startFleetOf(t *testing.T, layout fleetLayout) *fleet {
-	f := &fleet{t: t, folder: build(t), layout: layout, store: platformtest.NewStore(), config: baseConfiguration(), backEndPaths: map[string]*faultproxy.Proxy{}}
+func startFleetWith(t *testing.T, layout fleetLayout) *fleet {
+	f := &fleet{t: t, folder: build(t), layout: layout, store: platformtest.NewStore(), config: baseConfiguration(), backEndProxies: map[string]*faultproxy.Proxy{}}
 	t.Cleanup(f.store.Close)
 	t.Cleanup(f.printLogs)
 	for i := range layout.engines {
@@ -156,19 +158,19 @@
 	return f
 }
 
-// members returns all processes.
+// members returns all processes, the replicas first.
 func (f *fleet) members() []*member {
 	return append(append([]*member{}, f.replicas...), f.gateways...)
 }
 
-// newBackEnd starts a stand-in and enters it in the store.
+// newBackEnd starts a stand-in back end and registers it in the store.
 func (f *fleet) newBackEnd(id, service, zone string) *platformtest.Engine {
 	backEnd := platformtest.NewEngine(id)
 	f.t.Cleanup(backEnd.Close)
 	entry := backEnd.Entry(service, zone, "ready")
 	if f.layout.proxied {
-		f.backEndPaths[id] = f.proxyTo(backEnd.Address())
-		entry["address"] = f.backEndPaths[id].Address()
+		f.backEndProxies[id] = f.proxyTo(backEnd.Address())
+		entry["address"] = f.backEndProxies[id].Address()
 	}
 	f.store.Put("servers", id, entry)
 	return backEnd
@@ -181,33 +183,33 @@
 	return proxy
 }
 
-// throughProxies puts proxies on the ways of a process where the fleet has them, and
-// returns the settings that say so.
-func (f *fleet) throughProxies(m *member, peer string) string {
+// addProxies starts the proxies of a process if the layout is proxied, and returns the
+// settings with the addresses to use.
+func (f *fleet) addProxies(m *member, peer string) string {
 	if !f.layout.proxied {
 		return "storeAddress: " + f.store.Address() + "\n"
 	}
-	m.storePath = f.proxyTo(f.store.Address())
-	settings := "storeAddress: " + m.storePath.Address() + "\n"
-	if m.verb == "replica" { // gateways tell each other by datagrams, which no proxy passes
-		m.peerPath = f.proxyTo(peer)
-		settings += "advertisedAddress: " + m.peerPath.Address() + "\n"
+	m.storeProxy = f.proxyTo(f.store.Address())
+	settings := "storeAddress: " + m.storeProxy.Address() + "\n"
+	if m.subcommand == "replica" { // gateways exchange datagrams, which the proxy does not forward
+		m.peerProxy = f.proxyTo(peer)
+		settings += "advertisedAddress: " + m.peerProxy.Address() + "\n"
 	}
 	return settings
 }
 
 func (f *fleet) newReplica(name, zone string, addresses []string) *member {
 	peer, metrics := addresses[0], addresses[1]
-	m := &member{name: name, verb: "replica", address: peer, metrics: metrics, copies: addresses[2], data: f.t.TempDir()}
+	m := &member{name: name, subcommand: "replica", address: peer, metricsAddress: metrics, copyAddress: addresses[2], dataFolder: f.t.TempDir()}
 	m.settings = f.write(name, fmt.Sprintf("node: %s\nzone: %s\npeerAddress: %s\nmetricsAddress: %s\nmemoryMB: 256\ngrace: 5s\ntolerateMachines: 1\ndataFolder: %s\ndiskMB: 64\ncopyAddress: %s\nquotaSlack: %d\n",
-		name, zone, peer, metrics, m.data, m.copies, f.layout.quotaSlack)+f.layout.settings+f.throughProxies(m, peer)+f.layout.regionSettings())
+		name, zone, peer, metrics, m.dataFolder, m.copyAddress, f.layout.quotaSlack)+f.layout.settings+f.addProxies(m, peer)+f.layout.regionSettings())
 	return m
 }
 
 func (f *fleet) newGateway(name, zone string, addresses []string) *member {
-	m := &member{name: name, verb: "gateway", address: addresses[0], ready: addresses[1], metrics: addresses[3]}
+	m := &member{name: name, subcommand: "gateway", address: addresses[0], readyAddress: addresses[1], metricsAddress: addresses[3]}
 	m.settings = f.write(name, fmt.Sprintf("node: %s\nzone: %s\ncallerAddress: %s\nreadyAddress: %s\npeerAddress: %s\nmetricsAddress: %s\nmemoryMB: 256\ngrace: 8s\ntolerateMachines: 1\n",
-		name, zone, addresses[0], addresses[1], addresses[2], addresses[3])+f.layout.settings+f.layout.gatewaySettings+f.throughProxies(m, addresses[2])+f.layout.regionSettings())
+		name, zone, addresses[0], addresses[1], addresses[2], addresses[3])+f.layout.settings+f.layout.gatewaySettings+f.addProxies(m, addresses[2])+f.layout.regionSettings())
 	return m
 }
 
@@ -219,12 +221,12 @@
 
 func (f *fleet) start(m *member) {
 	f.t.Helper()
-	m.command = exec.Command(f.programOf(m), m.verb, "--settings", m.settings)
-	m.lives++
+	m.command = exec.Command(f.binaryFor(m), m.subcommand, "--settings", m.settings)
+	m.starts++
 	if m.log == nil {
 		m.log = &lockedBuffer{}
 	}
-	m.logFrom = len(m.log.String())
+	m.logStart = len(m.log.String())
 	m.command.Stdout, m.command.Stderr = m.log, m.log
 	require.NoError(f.t, m.command.Start())
 	m.exited = make(chan error, 1)
@@ -233,12 +235,12 @@
 	f.t.Cleanup(func() { _ = command.Process.Kill() })
 }
 
-// hasStarted reports whether the program of the present process has begun.
+// hasStarted reports whether the current process has logged its start event.
 func (m *member) hasStarted() bool {
-	return strings.Contains(m.log.String()[m.logFrom:], `"event":"start"`)
+	return strings.Contains(m.log.String()[m.logStart:], `"event":"start"`)
 }
 
-// kill ends a process without warning and waits for its end.
+// kill sends SIGKILL to a process and waits for its exit.
 func (f *fleet) kill(m *member) {
 	require.NoError(f.t, m.command.Process.Kill())
 	<-m.exited
@@ -255,8 +257,8 @@
 
 func (f *fleet) awaitReady(gateway *member) {
 	f.t.Helper()
-	require.Eventually(f.t, func() bool { return status("http://"+gateway.ready+"/readiness") == http.StatusOK },
-		time.Minute, 20*time.Millisecond, "%s is never ready", gateway.name)
+	require.Eventually(f.t, func() bool { return status("http://"+gateway.readyAddress+"/readiness") == http.StatusOK },
+		time.Minute, 20*time.Millisecond, "%s did not become ready", gateway.name)
 }
 
 func status(url string) int {
@@ -268,24 +270,24 @@
 	return response.StatusCode
 }
 
-// awaitTurn waits until every gateway serves a turn, which takes a quorum of replicas
-// that it knows.
+// awaitTurn waits until every gateway serves a turn, which requires that it knows a
+// quorum of replicas.
 func (f *fleet) awaitTurn() {
 	f.t.Helper()
 	for _, gateway := range f.gateways {
 		require.Eventually(f.t, func() bool {
-			return f.turn(gateway, turnRequest{path: "/chat/x", program: f.newID(), budget: 1000, most: 50, body: "warm"}).status == http.StatusOK
+			return f.turn(gateway, turnRequest{path: "/chat/x", program: f.newID(), budget: 1000, maxTokens: 50, body: "warm"}).status == http.StatusOK
 		}, time.Minute, 50*time.Millisecond)
 	}
 }
 
 func (f *fleet) newID() string {
-	f.number++
-	return fmt.Sprintf("%016x", f.number)
+	f.lastID++
+	return fmt.Sprintf("%016x", f.lastID)
 }
 
-// answered is what a caller got.
-type answered struct {
+// exchangeResult is the response that a caller received, or the error.
+type exchangeResult struct {
 	id     string
 	status int
 	header http.Header
@@ -295,13 +297,13 @@
 
 type turnRequest struct {
 	path, program, previous, body string
-	budget, most                  int
+	budget, maxTokens             int
 }
 
-func (f *fleet) turn(gateway *member, turn turnRequest) answered {
+func (f *fleet) turn(gateway *member, turn turnRequest) exchangeResult {
 	header := http.Header{
 		"X-Program-Id": {turn.program}, "X-Session-Id": {"s-" + turn.program}, "X-Program-Deadline-Ms": {"8000"},
-		"X-Token-Budget": {fmt.Sprint(turn.budget)}, "X-Token-Count": {fmt.Sprintf("100,%d", turn.most)},
+		"X-Token-Budget": {fmt.Sprint(turn.budget)}, "X-Token-Count": {fmt.Sprintf("100,%d", turn.maxTokens)},
 	}
 	if turn.previous != "" {
 		header.Set("X-Previous-Turn", turn.previous)
@@ -309,19 +311,19 @@
 	return f.post(gateway, agentHost, turn.path, header, turn.body)
 }
 
-func (f *fleet) post(gateway *member, host, path string, header http.Header, body string) answered {
+func (f *fleet) post(gateway *member, host, path string, header http.Header, body string) exchangeResult {
 	return exchange(gateway, f.newID(), host, path, header, body)
 }
 
-func exchange(gateway *member, id, host, path string, header http.Header, body string) answered {
-	return exchangeAt(gateway, id, host, path, header, body, false)
+func exchange(gateway *member, id, host, path string, header http.Header, body string) exchangeResult {
+	return exchangeWithReader(gateway, id, host, path, header, body, false)
 }
 
-// exchangeAt sends a request and reads its answer at once or slowly.
-func exchangeAt(gateway *member, id, host, path string, header http.Header, body string, slowly bool) answered {
+// exchangeWithReader sends a request and reads the response, through a slowBody if slow is set.
+func exchangeWithReader(gateway *member, id, host, path string, header http.Header, body string, slow bool) exchangeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	result := answered{id: id}
+	result := exchangeResult{id: id}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway.address+path, strings.NewReader(body))
 	if err != nil {
 		result.err = err
@@ -343,7 +345,7 @@
 	}
 	defer response.Body.Close()
 	var source io.Reader = response.Body
-	if slowly {
+	if slow {
 		source = slowBody{source}
 	}
 	content, err := io.ReadAll(source)
@@ -351,7 +353,7 @@
 	return result
 }
 
-// runsOf returns the runs of a request on the given instances.
+// runsOf returns the runs of a request on the instances.
 func runsOf(id string, instances []*platformtest.Engine) []platformtest.Run {
 	var runs []platformtest.Run
 	for _, instance := range instances {
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -26,7 +26,7 @@
 
 var zones = []string{"centrs", "agenskalns", "purvciems"}
 
-// system is a running deployment of processes.
+// system is a deployment of node processes and stand-ins.
 type system struct {
 	t        *testing.T
 	folder   string
@@ -39,7 +39,7 @@
 	logs         []*lockedBuffer
 }
 
-// lockedBuffer collects a process's output.
+// lockedBuffer collects a process's output. It is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -66,9 +66,10 @@
 	return folder
 }
 
-// reserve asks the kernel for addresses that processes then listen on. They are on
-// a loopback address of this test process alone, so that no connection of another
-// process takes a port in between, and are asked for together, so that they differ.
+// reserve returns free addresses for processes to listen on. They are on a loopback
+// address that only this test process uses, so that no connection of another process
+// takes a port before it is used. All listeners are open at once, so that the addresses
+// differ.
 func reserve(t *testing.T, count int) []string {
 	t.Helper()
 	host := fmt.Sprintf("127.%d.%d.1", 1+(os.Getpid()>>8)%250, os.Getpid()%250)
@@ -130,7 +131,7 @@
 	}, time.Minute, 20*time.Millisecond)
 }
 
-// command runs one of the operators' commands and checks its exit code.
+// command runs an operator command, requires the exit code and returns the output.
 func (s *system) command(code int, arguments ...string) string {
 	s.t.Helper()
 	command := exec.Command(filepath.Join(s.folder, "swiftbank"), arguments...)
@@ -176,7 +177,7 @@
 	}, time.Minute, 20*time.Millisecond)
 }
 
-// runs returns how often each idempotency key ran at the applications and tools.
+// runs returns the number of runs by idempotency key over all applications and tools.
 func (s *system) runs() map[string]int {
 	total := map[string]int{}
 	for _, address := range s.applications {
@@ -194,10 +195,10 @@
 	return total
 }
 
-// checkAnswers compares every answer with what the back ends ran.
+// checkAnswers checks every response against the runs at the back ends.
 func checkAnswers(t *testing.T, results []program.Result, runs map[string]int) {
 	for _, result := range results {
-		// An unrepeatable call whose node was killed may end as "may have run".
+		// An unrepeatable call may end with the verdict "may have run" if its node was killed.
 		if result.Err != nil {
 			last := result.Calls[len(result.Calls)-1]
 			require.True(t, last.Step.Unrepeatable && last.Response != nil && last.Response.Verdict == verdict.MayHaveRun, "%s: %v", result.Program, result.Err)
@@ -227,7 +228,7 @@
 	return programs
 }
 
-// TestKillAndFreeze kills one node and freezes another while programs run.
+// TestKillAndFreeze kills one node and freezes another for 3 seconds while programs run.
 func TestKillAndFreeze(t *testing.T) {
 	s := startSystem(t, 5)
 	client := program.NewClient(s.callers)
@@ -250,7 +251,7 @@
 	checkAnswers(t, results, s.runs())
 }
 
-// TestPlannedStop stops a node by SIGTERM while programs run: nothing may fail.
+// TestPlannedStop stops a node with SIGTERM while programs run. No program may fail.
 func TestPlannedStop(t *testing.T) {
 	s := startSystem(t, 5)
 	client := program.NewClient(s.callers)
--- a/internal/e2e/soak_callers_test.go
+++ b/internal/e2e/soak_callers_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// requestKind is what a caller asked for.
+// requestKind is the kind of a request.
 type requestKind uint8
 
 const (
@@ -17,71 +17,71 @@
 	unsafeCall
 )
 
-// record is one request and its answer.
+// record is one request and its outcome.
 type record struct {
-	answered
-	kind    requestKind
-	program string
-	budget  int
-	most    int
-	// previous is the turn it went on from; input what was sent.
-	previous keptTurn
+	exchangeResult
+	kind      requestKind
+	program   string
+	budget    int
+	maxTokens int
+	// previous is the turn that the request continues; input is the request body.
+	previous completedTurn
 	input    string
 	gateway  string
-	// tenant is the place of its tenant in soakTenants.
+	// tenant is the index of the tenant in soakTenants.
 	tenant int
 	sentAt time.Duration
 	took   time.Duration
 }
 
-// soakCaller runs one program after another.
+// soakCaller runs programs sequentially.
 type soakCaller struct {
 	*soak
 	random *rand.Rand
-	// tenant is the place of its tenant in soakTenants.
+	// tenant is the index of the tenant in soakTenants.
 	tenant int
-	// slowly says that it reads answers slowly.
-	slowly bool
+	// readsSlowly makes the caller read responses through a slowBody.
+	readsSlowly bool
 }
 
-// soakSlack is how far a count of requests may exceed a limit.
+// soakSlack is the number of requests by which a tenant may exceed its limit.
 const soakSlack = 20
 
-// soakLimit is the limit of the last tenant, which its callers exceed.
+// soakLimit is the rate limit of the last tenant, which its callers exceed.
 var soakLimit = struct{ perSecond, burst int }{30, 30}
 
-// soakTenants are whose callers run programs.
+// soakTenants are the tenants of the callers.
 var soakTenants = []map[string]any{
 	{"name": "riga", "api_keys": []string{keyOfRiga}},
 	{"name": "luzon", "api_keys": []string{keyOfLuzon}, "rate_per_s": soakLimit.perSecond, "burst": soakLimit.burst},
 }
 
-// keyOf returns the key of a tenant's callers.
+// keyOf returns the API key of the tenant with the given index.
 func keyOf(tenant int) string { return soakTenants[tenant]["api_keys"].([]string)[0] }
 
 const (
 	turnTokens     = 40 // four events of ten tokens each
-	turnMost       = 50
-	turnsMost      = 5
-	triesMost      = 4
-	goOnFromKept   = 0.25
+	maxTurnTokens  = 50
+	maxTurns       = 5
+	maxAttempts    = 4
+	continueShare  = 0.25
 	resumableShare = 0.3
 )
 
-// runProgram runs turns with calls of tools between them.
+// runProgram runs one program: turns with tool calls between them.
 func (c *soakCaller) runProgram() {
 	program := "p-" + c.nextID()
-	budget := turnMost * (1 + c.random.IntN(turnsMost))
-	var line keptTurn
-	if c.random.Float64() < goOnFromKept {
-		line = c.anyKept()
+	budget := maxTurnTokens * (1 + c.random.IntN(maxTurns))
+	var latest completedTurn
+	if c.random.Float64() < continueShare {
+		latest = c.randomCompletedTurn()
 	}
-	for range 1 + c.random.IntN(turnsMost) {
-		next, whole := c.turn(program, budget, line)
-		if !whole {
+	for range 1 + c.random.IntN(maxTurns) {
+		next, succeeded := c.turn(program, budget, latest)
+		if !succeeded {
 			return
 		}
-		line = next
+		latest = next
 		c.call(program, safeCall)
 		if c.random.IntN(2) == 0 {
 			c.call(program, unsafeCall)
@@ -89,74 +89,75 @@
 	}
 }
 
-// anyKept returns a turn that some program of the tenant got whole, or none.
-func (c *soakCaller) anyKept() keptTurn {
+// randomCompletedTurn returns a random completed turn, or the zero value if there is none or it
+// belongs to another tenant.
+func (c *soakCaller) randomCompletedTurn() completedTurn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.kept) == 0 {
-		return keptTurn{}
+	if len(c.completed) == 0 {
+		return completedTurn{}
 	}
-	if kept := c.kept[c.random.IntN(len(c.kept))]; kept.tenant == c.tenant {
+	if kept := c.completed[c.random.IntN(len(c.completed))]; kept.tenant == c.tenant {
 		return kept
 	}
-	return keptTurn{}
+	return completedTurn{}
 }
 
-// turn asks for one turn until it is answered whole or was tried often enough.
-func (c *soakCaller) turn(program string, budget int, line keptTurn) (keptTurn, bool) {
+// turn retries one turn until it succeeds, its budget is used up or maxAttempts is reached.
+func (c *soakCaller) turn(program string, budget int, previous completedTurn) (completedTurn, bool) {
 	kind, path := retainedTurn, "/chat/s"
 	if c.random.Float64() < resumableShare {
-		kind, path, line = resumableTurn, "/plan/s", keptTurn{}
+		kind, path, previous = resumableTurn, "/plan/s", completedTurn{}
 	}
-	for range triesMost {
-		asked := record{kind: kind, program: program, budget: budget, most: turnMost, previous: line}
+	for range maxAttempts {
+		request := record{kind: kind, program: program, budget: budget, maxTokens: maxTurnTokens, previous: previous}
 		header := turnHeader(program, budget)
-		if line.id != "" {
-			header.Set("X-Previous-Turn", line.id)
+		if previous.id != "" {
+			header.Set("X-Previous-Turn", previous.id)
 		}
-		got := c.ask(asked, agentHost, path, header)
+		got := c.send(request, agentHost, path, header)
 		if got.status == http.StatusPaymentRequired {
-			return keptTurn{}, false
+			return completedTurn{}, false
 		}
-		if got.whole() {
-			return keptTurn{id: got.id, history: line.history + got.input + c.engines[0].EventData(got.id), tenant: c.tenant}, true
+		if got.succeeded() {
+			return completedTurn{id: got.id, history: previous.history + got.input + c.engines[0].EventData(got.id), tenant: c.tenant}, true
 		}
 	}
-	return keptTurn{}, false
+	return completedTurn{}, false
 }
 
-// call calls a tool.
+// call makes one tool call.
 func (c *soakCaller) call(program string, kind requestKind) {
 	path := "/start/s"
 	if kind == unsafeCall {
 		path = "/charge/s"
 	}
-	c.ask(record{kind: kind, program: program}, appsHost, path, http.Header{"X-Program-Id": {program}})
+	c.send(record{kind: kind, program: program}, appsHost, path, http.Header{"X-Program-Id": {program}})
 }
 
-// ask sends one request to some gateway and keeps what came of it.
-func (c *soakCaller) ask(asked record, host, path string, header http.Header) record {
+// send sends one request to a random gateway and records the outcome.
+func (c *soakCaller) send(request record, host, path string, header http.Header) record {
 	gateway := c.gateways[c.random.IntN(len(c.gateways))]
-	asked.gateway = gateway.name
+	request.gateway = gateway.name
 	id := c.nextID()
-	asked.tenant = c.tenant
+	request.tenant = c.tenant
 	header.Set("Authorization", "Bearer "+keyOf(c.tenant))
 	header.Set("X-Tenant", "forged")
-	asked.input = "input-" + id + "|"
-	asked.sentAt = time.Since(c.began)
-	asked.answered = exchangeAt(gateway, id, host, path, header, asked.input, c.slowly)
-	asked.took = time.Since(c.began) - asked.sentAt
+	request.input = "input-" + id + "|"
+	request.sentAt = time.Since(c.startedAt)
+	request.exchangeResult = exchangeWithReader(gateway, id, host, path, header, request.input, c.readsSlowly)
+	request.took = time.Since(c.startedAt) - request.sentAt
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.records = append(c.records, asked)
-	if asked.kind == retainedTurn && asked.whole() {
-		c.kept = append(c.kept, keptTurn{id: id, history: asked.previous.history + asked.input + c.engines[0].EventData(id), tenant: c.tenant})
+	c.records = append(c.records, request)
+	if request.kind == retainedTurn && request.succeeded() {
+		c.completed = append(c.completed, completedTurn{id: id, history: request.previous.history + request.input + c.engines[0].EventData(id), tenant: c.tenant})
 	}
-	return asked
+	return request
 }
 
-// whole reports whether the caller got a whole success.
-func (r record) whole() bool { return r.err == nil && r.status == http.StatusOK }
+// succeeded reports whether the caller received a complete response with status 200.
+func (r record) succeeded() bool { return r.err == nil && r.status == http.StatusOK }
 
-// events returns how many whole events of a stream the caller got.
+// events returns the number of complete stream events that the caller received.
 func (r record) events() int { return strings.Count(r.body, "\n\n") }
--- a/internal/e2e/soak_checks_test.go
+++ b/internal/e2e/soak_checks_test.go
@@ -15,22 +15,22 @@
 	"swiftbank.dev/swiftbank/platform/platformtest"
 )
 
-// promises lists the statuses that say that a request has not run and never will.
-var promises = map[int]bool{
+// notRunStatuses are the statuses that guarantee that a request has not run and will not run.
+var notRunStatuses = map[int]bool{
 	http.StatusPaymentRequired: true, http.StatusNotFound: true, http.StatusRequestTimeout: true,
 	http.StatusRequestEntityTooLarge: true, http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true,
 }
 
-// fleetIDs begins the ids of requests that the fleet itself sends at its start.
-const fleetIDs = "00000000"
+// fleetIDPrefix is the prefix of the ids of requests that the test fleet sends outside the soak's load.
+const fleetIDPrefix = "00000000"
 
-// backEnds returns all stand-ins.
+// backEnds returns all stand-in back ends.
 func (s *soak) backEnds() []*platformtest.Engine {
 	return append(append([]*platformtest.Engine{}, s.engines...), s.apps...)
 }
 
-// runsByID returns all runs of the back ends, by request.
+// runsByID returns all runs of the back ends, by request id.
 func (s *soak) runsByID() map[string][]platformtest.Run {
 	runs := map[string][]platformtest.Run{}
 	for _, backEnd := range s.backEnds() {
@@ -41,54 +41,54 @@
 	return runs
 }
 
-// checkAll checks every request against what ran.
+// checkAll checks the outcome of every request against the runs at the back ends.
 func (s *soak) checkAll(t assert.TestingT, runs map[string][]platformtest.Run) {
-	asked := map[string]bool{}
+	sent := map[string]bool{}
 	tokens, budgets := map[string]int{}, map[string]int{}
 	for _, r := range s.records {
-		asked[r.id] = true
-		s.checkOne(t, r, runs[r.id])
+		sent[r.id] = true
+		s.checkRequest(t, r, runs[r.id])
 		if r.kind == retainedTurn || r.kind == resumableTurn {
 			tokens[r.program] += r.events() * turnTokens / 4
 			budgets[r.program] = r.budget
 		}
 	}
 	for program, spent := range tokens {
-		assert.LessOrEqual(t, spent, budgets[program]+turnMost, "budget of %s", program)
+		assert.LessOrEqual(t, spent, budgets[program]+maxTurnTokens, "budget of %s", program)
 	}
 	for id := range runs {
-		assert.True(t, asked[id] || strings.HasPrefix(id, fleetIDs), "nobody asked for %s", id)
+		assert.True(t, sent[id] || strings.HasPrefix(id, fleetIDPrefix), "no caller sent %s", id)
 	}
 }
 
-func (s *soak) checkOne(t assert.TestingT, r record, runs []platformtest.Run) {
-	about := fmt.Sprintf("request %s to %s at %.3f s: status %d, error %v, %d runs", r.id, r.gateway, r.sentAt.Seconds(), r.status, r.err, len(runs))
-	if promises[r.status] {
-		assert.Empty(t, runs, "ran although refused: %s", about)
+func (s *soak) checkRequest(t assert.TestingT, r record, runs []platformtest.Run) {
+	description := fmt.Sprintf("request %s to %s at %.3f s: status %d, error %v, %d runs", r.id, r.gateway, r.sentAt.Seconds(), r.status, r.err, len(runs))
+	if notRunStatuses[r.status] {
+		assert.Empty(t, runs, "ran after a refusal: %s", description)
 	}
 	if r.kind == unsafeCall || r.kind == retainedTurn {
-		assert.LessOrEqual(t, len(runs), 1, "ran more than once: %s", about)
+		assert.LessOrEqual(t, len(runs), 1, "ran more than once: %s", description)
 	}
 	if r.kind == safeCall {
-		assert.LessOrEqual(t, len(runs), 2, "ran on more instances than allowed: %s", about)
+		assert.LessOrEqual(t, len(runs), 2, "ran on more instances than allowed: %s", description)
 	}
-	assert.NotEqual(t, http.StatusNotFound, r.status, "a kept turn or a route is denied: %s", about)
-	assert.NotEqual(t, http.StatusGone, r.status, about)
-	assert.NotEqual(t, http.StatusUnauthorized, r.status, "a key of the configuration is denied: %s", about)
+	assert.NotEqual(t, http.StatusNotFound, r.status, "completed turn or route not found: %s", description)
+	assert.NotEqual(t, http.StatusGone, r.status, description)
+	assert.NotEqual(t, http.StatusUnauthorized, r.status, "configured key rejected: %s", description)
 	for _, run := range runs {
-		assert.Equal(t, []string{soakTenants[r.tenant]["name"].(string)}, run.Header.Values("X-Tenant"), "another tenant: %s", about)
-		assert.Empty(t, run.Header.Values("Authorization"), "the key went on: %s", about)
-		assert.Equal(t, r.previous.history+r.input, run.Body, "another prompt: %s", about)
+		assert.Equal(t, []string{soakTenants[r.tenant]["name"].(string)}, run.Header.Values("X-Tenant"), "wrong tenant: %s", description)
+		assert.Empty(t, run.Header.Values("Authorization"), "key forwarded to the back end: %s", description)
+		assert.Equal(t, r.previous.history+r.input, run.Body, "wrong prompt: %s", description)
 	}
-	if r.whole() {
-		s.checkAnswer(t, r, runs, about)
+	if r.succeeded() {
+		s.checkAnswer(t, r, runs, description)
 	}
 	if r.kind == resumableTurn || r.kind == retainedTurn {
-		s.checkOrder(t, r, about)
+		s.checkOrder(t, r, description)
 	}
 }
 
-// checkLimits counts the runs of the tenant with a limit in every span of a window.
+// checkLimits checks the number of runs of the limited tenant in every window of 5 seconds.
 func (s *soak) checkLimits(t assert.TestingT, runs map[string][]platformtest.Run) {
 	const window, overage = 5 * time.Second, 0.1
 	allowed := float64(soakLimit.perSecond*5+soakLimit.burst)*(1+overage) + soakSlack
@@ -96,7 +96,7 @@
 	var spans []span
 	for _, r := range s.records {
 		if r.tenant == len(soakTenants)-1 && len(runs[r.id]) > 0 {
-			spans = append(spans, span{r.sentAt, runs[r.id][0].At.Sub(s.began)})
+			spans = append(spans, span{r.sentAt, runs[r.id][0].At.Sub(s.startedAt)})
 		}
 	}
 	for _, first := range spans {
@@ -107,48 +107,48 @@
 			}
 		}
 		if float64(count) > allowed {
-			assert.Fail(t, "a limit is exceeded", "%d requests were sent and ran in the window from %.3f s on; %.0f are allowed", count, first.sent.Seconds(), allowed)
+			assert.Fail(t, "limit exceeded", "%d requests ran in the window that starts at %.3f s; %.0f are allowed", count, first.sent.Seconds(), allowed)
 			return
 		}
 	}
 }
 
-// checkAnswer checks that a success is the whole answer of an instance to this request.
-func (s *soak) checkAnswer(t assert.TestingT, r record, runs []platformtest.Run, about string) {
-	assert.NotEmpty(t, runs, "answered without a run: %s", about)
+// checkAnswer checks that a successful response is complete, signed and belongs to the request.
+func (s *soak) checkAnswer(t assert.TestingT, r record, runs []platformtest.Run, description string) {
+	assert.NotEmpty(t, runs, "response without a run: %s", description)
 	signer := strings.TrimPrefix(r.header.Get("X-Server-Signature"), "signed-by-")
-	assert.NotEmpty(t, signer, "not signed: %s", about)
+	assert.NotEmpty(t, signer, "not signed: %s", description)
 	if r.kind == safeCall || r.kind == unsafeCall {
-		assert.Equal(t, "answer to "+r.id+" by "+signer, r.body, about)
+		assert.Equal(t, "answer to "+r.id+" by "+signer, r.body, description)
 		return
 	}
-	assert.Equal(t, s.engines[0].Events, r.events(), "not all events: %s", about)
+	assert.Equal(t, s.engines[0].Events, r.events(), "events missing: %s", description)
 }
 
-// checkOrder checks that a stream, whole or broken off, holds each event once and in order.
-func (s *soak) checkOrder(t assert.TestingT, r record, about string) {
+// checkOrder checks that a complete or interrupted stream contains each event once and in order.
+func (s *soak) checkOrder(t assert.TestingT, r record, description string) {
 	var expected strings.Builder
 	for number := 1; number <= s.engines[0].Events; number++ {
 		fmt.Fprintf(&expected, "id: %d\ndata: %s-%d\n\n", number, r.id, number)
 	}
 	if r.status == http.StatusOK {
-		assert.True(t, strings.HasPrefix(expected.String(), r.body), "other events: %s: %q", about, r.body)
+		assert.True(t, strings.HasPrefix(expected.String(), r.body), "unexpected events: %s: %q", description, r.body)
 	}
 }
 
-// checkKeptTurns goes on from turns that callers got whole: each must reach an engine
-// with its whole history once the faults have ended.
-func (s *soak) checkKeptTurns(t *testing.T) {
+// checkCompletedTurns continues a sample of the completed turns after the faults have ended. Each
+// must reach an engine with its complete history.
+func (s *soak) checkCompletedTurns(t *testing.T) {
 	const sample = 40
 	random := rand.New(rand.NewPCG(s.seed, 1<<32))
-	kept := append([]keptTurn{}, s.kept...)
-	random.Shuffle(len(kept), func(a, b int) { kept[a], kept[b] = kept[b], kept[a] })
-	for _, turn := range kept[:min(sample, len(kept))] {
-		require.Eventually(t, func() bool { return s.goesOn(t, turn) }, healLimit, 100*time.Millisecond, "turn %s is lost", turn.id)
+	turns := append([]completedTurn{}, s.completed...)
+	random.Shuffle(len(turns), func(a, b int) { turns[a], turns[b] = turns[b], turns[a] })
+	for _, turn := range turns[:min(sample, len(turns))] {
+		require.Eventually(t, func() bool { return s.continues(t, turn) }, recoveryLimit, 100*time.Millisecond, "turn %s was lost", turn.id)
 	}
 }
 
-func (s *soak) goesOn(t *testing.T, turn keptTurn) bool {
+func (s *soak) continues(t *testing.T, turn completedTurn) bool {
 	id := s.nextID()
 	got := exchange(s.gateways[0], id, agentHost, "/chat/after", http.Header{
 		"X-Program-Id": {"p-" + id}, "X-Token-Budget": {"1000"}, "X-Token-Count": {"100,50"}, "X-Previous-Turn": {turn.id},
@@ -164,26 +164,26 @@
 	return true
 }
 
-// checkConfiguration checks that the newest configuration is in force at every gateway.
+// checkConfiguration checks that every gateway serves the newest configuration version.
 func (s *soak) checkConfiguration(t *testing.T) {
 	for _, gateway := range s.gateways {
 		require.Eventually(t, func() bool {
-			got := exchange(gateway, s.newID(), appsHost, s.probePath(s.version), as(keyOfRiga), "x")
+			got := exchange(gateway, s.newID(), appsHost, s.probePath(s.version), bearer(keyOfRiga), "x")
 			return got.err == nil && got.status == http.StatusOK
-		}, healLimit, 100*time.Millisecond, "%s lacks version %d", gateway.name, s.version)
+		}, recoveryLimit, 100*time.Millisecond, "%s does not serve version %d", gateway.name, s.version)
 	}
 }
 
-func TestTheSoakFindsAnExceededLimit(t *testing.T) {
+func TestCheckLimitsDetectsExceededLimit(t *testing.T) {
 	check := func(count int, pause time.Duration) int {
-		s := &soak{fleet: &fleet{}, began: time.Now()}
+		s := &soak{fleet: &fleet{}, startedAt: time.Now()}
 		runs := map[string][]platformtest.Run{}
 		for number := range count {
 			id, at := fmt.Sprint(number), time.Duration(number)*pause
-			s.records = append(s.records, record{tenant: len(soakTenants) - 1, sentAt: at, answered: answered{id: id}})
-			runs[id] = []platformtest.Run{{ID: id, At: s.began.Add(at)}}
+			s.records = append(s.records, record{tenant: len(soakTenants) - 1, sentAt: at, exchangeResult: exchangeResult{id: id}})
+			runs[id] = []platformtest.Run{{ID: id, At: s.startedAt.Add(at)}}
 		}
-		var found counter
+		var found failureCounter
 		s.checkLimits(&found, runs)
 		return found.failed
 	}
@@ -193,13 +193,13 @@
 	require.Positive(t, check(1000, 20*time.Millisecond))
 }
 
-// counter counts the checks that failed.
-type counter struct{ failed int }
+// failureCounter is an assert.TestingT that counts failed checks.
+type failureCounter struct{ failed int }
 
 // Errorf implements assert.TestingT.
-func (c *counter) Errorf(string, ...any) { c.failed++ }
+func (c *failureCounter) Errorf(string, ...any) { c.failed++ }
 
-func TestTheSoakFindsEachBrokenPromise(t *testing.T) {
+func TestCheckAllDetectsEachViolation(t *testing.T) {
 	engine := platformtest.NewEngine("i-engine-1")
 	t.Cleanup(engine.Close)
 	const id = "0000000100000001"
@@ -212,35 +212,35 @@
 		return body.String()
 	}
 	run := platformtest.Run{ID: id, Body: "in", Header: http.Header{"X-Tenant": {"riga"}}}
-	turn := record{kind: retainedTurn, program: "p", budget: 100, input: "in", answered: answered{id: id, status: http.StatusOK, header: signed, body: stream(1, 2, 3, 4)}}
-	call := record{kind: unsafeCall, input: "in", answered: answered{id: id, status: http.StatusOK, header: signed, body: "answer to " + id + " by i-engine-1"}}
+	turn := record{kind: retainedTurn, program: "p", budget: 100, input: "in", exchangeResult: exchangeResult{id: id, status: http.StatusOK, header: signed, body: stream(1, 2, 3, 4)}}
+	call := record{kind: unsafeCall, input: "in", exchangeResult: exchangeResult{id: id, status: http.StatusOK, header: signed, body: "answer to " + id + " by i-engine-1"}}
 	with := func(r record, change func(*record)) record { change(&r); return r }
 	check := func(r record, runs ...platformtest.Run) int {
 		s := &soak{fleet: &fleet{engines: []*platformtest.Engine{engine}}, records: []record{r}}
-		var found counter
+		var found failureCounter
 		s.checkAll(&found, map[string][]platformtest.Run{id: runs})
 		return found.failed
 	}
 	require.Zero(t, check(turn, run))
 	require.Zero(t, check(call, run))
-	require.Zero(t, check(with(turn, func(r *record) { r.body, r.err = stream(1, 2), io.ErrUnexpectedEOF }), run), "a stream may break off")
+	require.Zero(t, check(with(turn, func(r *record) { r.body, r.err = stream(1, 2), io.ErrUnexpectedEOF }), run), "a stream may be interrupted")
 	require.Zero(t, check(with(call, func(r *record) { r.status, r.header = http.StatusServiceUnavailable, nil })))
 
-	require.Positive(t, check(with(call, func(r *record) { r.status = http.StatusServiceUnavailable }), run), "ran although refused")
-	require.Positive(t, check(call, run, run), "an unsafe call ran twice")
-	require.Positive(t, check(turn, run, run), "a turn ran twice")
-	require.Positive(t, check(with(call, func(r *record) { r.kind = safeCall }), run, run, run), "a safe call ran too often")
-	require.Positive(t, check(call), "answered without a run")
-	require.Positive(t, check(with(call, func(r *record) { r.body = "answer to another by i-engine-1" }), run), "another request's answer")
+	require.Positive(t, check(with(call, func(r *record) { r.status = http.StatusServiceUnavailable }), run), "run after a refusal")
+	require.Positive(t, check(call, run, run), "second run of an unsafe call")
+	require.Positive(t, check(turn, run, run), "second run of a turn")
+	require.Positive(t, check(with(call, func(r *record) { r.kind = safeCall }), run, run, run), "third run of a safe call")
+	require.Positive(t, check(call), "response without a run")
+	require.Positive(t, check(with(call, func(r *record) { r.body = "answer to another by i-engine-1" }), run), "response to another request")
 	require.Positive(t, check(with(call, func(r *record) { r.header = nil }), run), "not signed")
-	require.Positive(t, check(with(turn, func(r *record) { r.body = stream(1, 2) }), run), "looks complete")
-	require.Positive(t, check(with(turn, func(r *record) { r.body = stream(1, 2, 2, 3) }), run), "an event twice")
-	require.Positive(t, check(with(turn, func(r *record) { r.body, r.err = stream(1, 3), io.ErrUnexpectedEOF }), run), "an event missing")
-	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "other", Header: run.Header}), "another prompt")
-	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "in", Header: http.Header{"X-Tenant": {"luzon"}}}), "another tenant")
-	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "in", Header: http.Header{"X-Tenant": {"riga"}, "Authorization": {"Bearer x"}}}), "a key that went on")
-	require.Positive(t, check(with(call, func(r *record) { r.status = http.StatusUnauthorized })), "a key denied")
-	require.Positive(t, check(with(turn, func(r *record) { r.status = http.StatusNotFound })), "a kept turn denied")
+	require.Positive(t, check(with(turn, func(r *record) { r.body = stream(1, 2) }), run), "incomplete stream without an error")
+	require.Positive(t, check(with(turn, func(r *record) { r.body = stream(1, 2, 2, 3) }), run), "duplicate event")
+	require.Positive(t, check(with(turn, func(r *record) { r.body, r.err = stream(1, 3), io.ErrUnexpectedEOF }), run), "missing event")
+	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "other", Header: run.Header}), "wrong prompt")
+	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "in", Header: http.Header{"X-Tenant": {"luzon"}}}), "wrong tenant")
+	require.Positive(t, check(turn, platformtest.Run{ID: id, Body: "in", Header: http.Header{"X-Tenant": {"riga"}, "Authorization": {"Bearer x"}}}), "forwarded key")
+	require.Positive(t, check(with(call, func(r *record) { r.status = http.StatusUnauthorized })), "rejected key")
+	require.Positive(t, check(with(turn, func(r *record) { r.status = http.StatusNotFound })), "completed turn not found")
 	require.Positive(t, check(with(turn, func(r *record) { r.budget = -20 }), run), "over budget")
-	require.Positive(t, check(with(turn, func(r *record) { r.answered.id = "0000000100000002" }), run), "nobody asked")
+	require.Positive(t, check(with(turn, func(r *record) { r.exchangeResult.id = "0000000100000002" }), run), "run of an unknown request")
 }
--- a/internal/e2e/soak_faults_test.go
+++ b/internal/e2e/soak_faults_test.go
@@ -18,67 +18,68 @@
 	"swiftbank.dev/swiftbank/platform/platformtest"
 )
 
-// activeFault is a fault in force.
+// activeFault is a fault that has not been healed yet.
 type activeFault struct {
 	name  string
 	until time.Time
 	heal  func()
-	// target is what no other fault may touch meanwhile.
+	// target is locked against other faults until this one is healed.
 	target string
 }
 
-// fault is a kind of trouble. begin returns false when it cannot come now.
+// fault defines a fault that the soak can inject. begin injects it and returns the affected target and a function that
+// heals it; begun is false if the fault cannot be injected now.
 type fault struct {
 	name  string
 	begin func(s *soak) (target string, heal func(), begun bool)
 }
 
-// Names of targets that are no process.
+// Names of targets other than single processes, back ends and paths.
 const (
 	targetStore = "store"
 	targetAll   = "all"
 )
 
 var faults = []fault{
-	{"gateway killed", func(s *soak) (string, func(), bool) { return s.killed(pick(s, s.gateways), nil) }},
-	{"gateway paused", func(s *soak) (string, func(), bool) { return s.paused(pick(s, s.gateways)) }},
-	{"gateway stopped", func(s *soak) (string, func(), bool) { return s.stopped(pick(s, s.gateways)) }},
-	{"gateway reads settings again", func(s *soak) (string, func(), bool) { return s.hungUp(pick(s, s.members())) }},
-	{"replica killed", func(s *soak) (string, func(), bool) { return s.killed(pick(s, s.replicas), nil) }},
-	{"replica killed with a torn write", func(s *soak) (string, func(), bool) { return s.killed(pick(s, s.replicas), s.tear) }},
-	{"replica paused", func(s *soak) (string, func(), bool) { return s.paused(pick(s, s.replicas)) }},
-	{"replica's disk lost", func(s *soak) (string, func(), bool) { return s.wiped(pick(s, s.replicas)) }},
+	{"gateway killed", func(s *soak) (string, func(), bool) { return s.killAndRestart(pick(s, s.gateways), nil) }},
+	{"gateway paused", func(s *soak) (string, func(), bool) { return s.pause(pick(s, s.gateways)) }},
+	{"gateway stopped", func(s *soak) (string, func(), bool) { return s.stop(pick(s, s.gateways)) }},
+	{"gateway reads settings again", func(s *soak) (string, func(), bool) { return s.reloadSettings(pick(s, s.members())) }},
+	{"replica killed", func(s *soak) (string, func(), bool) { return s.killAndRestart(pick(s, s.replicas), nil) }},
+	{"replica killed with a torn write", func(s *soak) (string, func(), bool) { return s.killAndRestart(pick(s, s.replicas), s.writeTornTail) }},
+	{"replica paused", func(s *soak) (string, func(), bool) { return s.pause(pick(s, s.replicas)) }},
+	{"replica's disk lost", func(s *soak) (string, func(), bool) { return s.wipeDisk(pick(s, s.replicas)) }},
 	{"replica's path", func(s *soak) (string, func(), bool) {
 		m := pick(s, s.replicas)
-		return s.path(m.name, m.peerPath)
+		return s.degradePath(m.name, m.peerProxy)
 	}},
 	{"store's path", func(s *soak) (string, func(), bool) {
 		m := pick(s, s.members())
-		return s.path(m.name, m.storePath)
+		return s.degradePath(m.name, m.storeProxy)
 	}},
 	{"back end's path", func(s *soak) (string, func(), bool) {
 		backEnd := pick(s, s.backEnds())
-		return s.path(backEnd.ID, s.backEndPaths[backEnd.ID])
+		return s.degradePath(backEnd.ID, s.backEndProxies[backEnd.ID])
 	}},
-	{"back end misbehaves", func(s *soak) (string, func(), bool) { return s.misbehaves(pick(s, s.backEnds())) }},
-	{"store fails", (*soak).storeFails},
-	{"store forgets", (*soak).storeForgets},
-	{"configuration changes", (*soak).configurationChanges},
-	{"back end leaves", func(s *soak) (string, func(), bool) { return s.leaves(pick(s, s.backEnds())) }},
-	{"all killed", (*soak).allKilled},
+	{"back end misbehaves", func(s *soak) (string, func(), bool) { return s.misbehave(pick(s, s.backEnds())) }},
+	{"store fails", (*soak).failStore},
+	{"store forgets", (*soak).dropStoreHistory},
+	{"configuration changes", (*soak).changeConfiguration},
+	{"back end leaves", func(s *soak) (string, func(), bool) { return s.drainBackEnd(pick(s, s.backEnds())) }},
+	{"all killed", (*soak).killAll},
 }
 
-// overlappingFaults come with all seeds but those that failed before they were known: with another
-// list of faults those seeds would bring others.
+// overlappingFaults are used with all seeds except failedSeeds, which failed before these faults were
+// added: a seed selects faults by their index, so a longer list would replay different faults.
 var overlappingFaults = []fault{
-	{"replica stopped", func(s *soak) (string, func(), bool) { return s.stopped(pick(s, s.replicas)) }},
-	{"signals amid a stop", func(s *soak) (string, func(), bool) { return s.signalledAmidStop(pick(s, s.members())) }},
-	{"killed amid a stop", func(s *soak) (string, func(), bool) { return s.killedAmidStop(pick(s, s.members())) }},
-	{"settings in series", func(s *soak) (string, func(), bool) { return s.hungUpInSeries(pick(s, s.members())) }},
-	{"configurations in series", (*soak).configurationsInSeries},
+	{"replica stopped", func(s *soak) (string, func(), bool) { return s.stop(pick(s, s.replicas)) }},
+	{"signals amid a stop", func(s *soak) (string, func(), bool) { return s.signalDuringStop(pick(s, s.members())) }},
+	{"killed amid a stop", func(s *soak) (string, func(), bool) { return s.killDuringStop(pick(s, s.members())) }},
+	{"settings in series", func(s *soak) (string, func(), bool) { return s.reloadSettingsRepeatedly(pick(s, s.members())) }},
+	{"configurations in series", (*soak).changeConfigurationRepeatedly},
 }
 
-// faultsOf returns the faults that a seed brings.
+// faultsOf returns the faults that a seed selects from.
 func faultsOf(seed uint64) []fault {
 	if slices.Contains(failedSeeds, seed) {
 		return faults
@@ -88,57 +89,57 @@
 
 func pick[T any](s *soak, from []T) T { return from[s.random.IntN(len(from))] }
 
-// bringFaults begins and ends faults until the time is over.
-func (s *soak) bringFaults(total time.Duration) {
+// injectFaults injects and heals faults for the given duration.
+func (s *soak) injectFaults(total time.Duration) {
 	end := time.Now().Add(total)
 	next := time.Now()
 	for now := time.Now(); now.Before(end); now = time.Now() {
-		s.healDue(now)
-		if !now.Before(next) && len(s.active) < faultsAtOnce {
-			s.beginOne(now)
-			next = now.Add(faultPauseLeast + time.Duration(s.random.Int64N(int64(faultPauseMost-faultPauseLeast))))
+		s.healExpired(now)
+		if !now.Before(next) && len(s.active) < maxActiveFaults {
+			s.beginFault(now)
+			next = now.Add(minFaultPause + time.Duration(s.random.Int64N(int64(maxFaultPause-minFaultPause))))
 		}
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-func (s *soak) beginOne(now time.Time) {
-	const least, most = 300 * time.Millisecond, 3 * time.Second
+func (s *soak) beginFault(now time.Time) {
+	const minDuration, maxDuration = 300 * time.Millisecond, 3 * time.Second
 	chosen := pick(s, faultsOf(s.seed))
 	target, heal, begun := chosen.begin(s)
 	if !begun {
 		return
 	}
-	lasts := least + time.Duration(s.random.Int64N(int64(most-least)))
-	s.note("%s: %s for %.1f s", chosen.name, target, lasts.Seconds())
-	s.touched[target] = true
-	s.active = append(s.active, activeFault{name: chosen.name, until: now.Add(lasts), heal: heal, target: target})
+	duration := minDuration + time.Duration(s.random.Int64N(int64(maxDuration-minDuration)))
+	s.note("%s: %s for %.1f s", chosen.name, target, duration.Seconds())
+	s.busyTargets[target] = true
+	s.active = append(s.active, activeFault{name: chosen.name, until: now.Add(duration), heal: heal, target: target})
 }
 
-func (s *soak) healDue(now time.Time) {
+func (s *soak) healExpired(now time.Time) {
 	s.active = slices.DeleteFunc(s.active, func(a activeFault) bool {
 		if now.Before(a.until) {
 			return false
 		}
 		s.note("ends: %s of %s", a.name, a.target)
 		a.heal()
-		delete(s.touched, a.target)
+		delete(s.busyTargets, a.target)
 		return true
 	})
 }
 
 func (s *soak) healAll() {
-	s.healDue(time.Now().Add(time.Hour))
+	s.healExpired(time.Now().Add(time.Hour))
 	for _, gateway := range s.gateways {
 		s.awaitReady(gateway)
 	}
 }
 
-// free reports whether a target may be touched.
-func (s *soak) free(target string) bool { return !s.touched[target] && !s.touched[targetAll] }
+// isFree reports whether no active fault affects the target.
+func (s *soak) isFree(target string) bool { return !s.busyTargets[target] && !s.busyTargets[targetAll] }
 
-func (s *soak) killed(m *member, before func(*member)) (string, func(), bool) {
-	if !s.free(m.name) {
+func (s *soak) killAndRestart(m *member, before func(*member)) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
 	s.kill(m)
@@ -148,10 +149,10 @@
 	return m.name, func() { s.start(m) }, true
 }
 
-// tear leaves what a loss of power may leave behind the last sync: a piece of a write,
-// and a segment that was not finished.
-func (s *soak) tear(m *member) {
-	files, _ := filepath.Glob(filepath.Join(m.data, "ledger", "*.log"))
+// writeTornTail simulates the state after a power loss: a partial write after the last sync, and an
+// unfinished segment.
+func (s *soak) writeTornTail(m *member) {
+	files, _ := filepath.Glob(filepath.Join(m.dataFolder, "ledger", "*.log"))
 	for _, file := range files {
 		torn := make([]byte, 1+s.random.IntN(300))
 		for i := range torn {
@@ -163,55 +164,56 @@
 		require.NoError(s.t, err)
 		require.NoError(s.t, opened.Close())
 	}
-	// A replica that was killed right after it lost its disk has no folder yet.
-	require.NoError(s.t, os.MkdirAll(filepath.Join(m.data, "ledger"), 0o700))
-	require.NoError(s.t, os.WriteFile(filepath.Join(m.data, "ledger", "99999999.partial"), []byte("unfinished"), 0o600))
+	// A replica that was killed right after its disk was wiped has no ledger folder yet.
+	require.NoError(s.t, os.MkdirAll(filepath.Join(m.dataFolder, "ledger"), 0o700))
+	require.NoError(s.t, os.WriteFile(filepath.Join(m.dataFolder, "ledger", "99999999.partial"), []byte("unfinished"), 0o600))
 }
 
-func (s *soak) paused(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+func (s *soak) pause(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
 	require.NoError(s.t, m.command.Process.Signal(syscall.SIGSTOP))
 	return m.name, func() { _ = m.command.Process.Signal(syscall.SIGCONT) }, true
 }
 
-// stopped asks a process to end and starts it again once it has.
-func (s *soak) stopped(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+// stop sends SIGTERM to a process and restarts it after it has exited.
+func (s *soak) stop(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
 	require.NoError(s.t, m.command.Process.Signal(syscall.SIGTERM))
 	return m.name, func() { s.startAfterStop(m) }, true
 }
 
-// startAfterStop starts a process again once it has ended by itself and said that it ended well.
+// startAfterStop waits until a process has exited, checks for exit code 0 and restarts the process.
 func (s *soak) startAfterStop(m *member) {
-	const graceAndMore = 10 * time.Second
+	const stopLimit = 10 * time.Second
 	select {
 	case err := <-m.exited:
-		// Asked before its program has begun, a process has nothing to end, and ends by the signal.
+		// A process that receives SIGTERM before it has installed its handler is terminated by the
+		// signal and has nothing to shut down.
 		if m.hasStarted() || err != nil && err.Error() != "signal: terminated" {
-			assert.NoError(s.t, err, "%s after its stop", m.name)
+			assert.NoError(s.t, err, "exit of %s after SIGTERM", m.name)
 		}
-	case <-time.After(graceAndMore):
-		s.t.Errorf("%s did not end after SIGTERM", m.name)
+	case <-time.After(stopLimit):
+		s.t.Errorf("%s did not exit after SIGTERM", m.name)
 		_ = m.command.Process.Kill()
 		<-m.exited
 	}
 	s.start(m)
 }
 
-// signalledAmidStop has a process read its settings again and stand still while it ends. It must
-// still end by itself, and say that it ended well.
-func (s *soak) signalledAmidStop(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+// signalDuringStop sends reload and stop signals to a process that is shutting down, and pauses it.
+// The process must still exit with code 0.
+func (s *soak) signalDuringStop(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
-	s.awaitCaught(m, syscall.SIGTERM)
+	s.awaitHandled(m, syscall.SIGTERM)
 	send := func(signals ...syscall.Signal) {
-		for _, each := range signals {
-			_ = m.command.Process.Signal(each) // it may have ended
+		for _, sent := range signals {
+			_ = m.command.Process.Signal(sent) // the process may have exited
 		}
 	}
 	send(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGSTOP)
@@ -221,13 +223,13 @@
 	}, true
 }
 
-// awaitCaught waits until a signal does not have its default effect on a process any more. Before a
-// program's first instruction no program can keep a signal from ending it.
-func (s *soak) awaitCaught(m *member, awaited syscall.Signal) {
+// awaitHandled waits until a process handles or ignores a signal. Before it has installed its handlers,
+// the signal's default action would terminate it.
+func (s *soak) awaitHandled(m *member, awaited syscall.Signal) {
 	require.Eventually(s.t, func() bool {
 		status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", m.command.Process.Pid))
 		if err != nil {
-			return true // it has ended
+			return true // the process has exited
 		}
 		for line := range strings.Lines(string(status)) {
 			name, mask, _ := strings.Cut(strings.TrimSpace(line), ":")
@@ -237,64 +239,65 @@
 			}
 		}
 		return false
-	}, healLimit, time.Millisecond)
+	}, recoveryLimit, time.Millisecond)
 }
 
-// killedAmidStop kills a process that is about to end.
-func (s *soak) killedAmidStop(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+// killDuringStop sends SIGTERM to a process and kills it while it shuts down.
+func (s *soak) killDuringStop(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
 	require.NoError(s.t, m.command.Process.Signal(syscall.SIGTERM))
 	return m.name, func() {
-		_ = m.command.Process.Kill() // it may have ended
+		_ = m.command.Process.Kill() // the process may have exited
 		<-m.exited
 		s.start(m)
 	}, true
 }
 
-// hungUpInSeries has a process read its settings again several times in a row.
-func (s *soak) hungUpInSeries(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+// reloadSettingsRepeatedly sends a process several SIGHUP signals in a row, each of which reloads its
+// settings.
+func (s *soak) reloadSettingsRepeatedly(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
-	s.awaitCaught(m, syscall.SIGHUP)
+	s.awaitHandled(m, syscall.SIGHUP)
 	for range 2 + s.random.IntN(8) {
 		_ = m.command.Process.Signal(syscall.SIGHUP)
 	}
 	return m.name, func() {}, true
 }
 
-func (s *soak) hungUp(m *member) (string, func(), bool) {
-	if !s.free(m.name) {
+func (s *soak) reloadSettings(m *member) (string, func(), bool) {
+	if !s.isFree(m.name) {
 		return "", nil, false
 	}
-	s.awaitCaught(m, syscall.SIGHUP)
+	s.awaitHandled(m, syscall.SIGHUP)
 	_ = m.command.Process.Signal(syscall.SIGHUP)
 	return m.name, func() {}, true
 }
 
-// wiped kills a replica and takes its disk's content away. One disk may be lost at
-// once, and the next only when the last one has caught up.
-func (s *soak) wiped(m *member) (string, func(), bool) {
+// wipeDisk kills a replica and deletes its ledger. Only one disk is lost at a time: the next one is
+// wiped only after the previous replica has caught up.
+func (s *soak) wipeDisk(m *member) (string, func(), bool) {
 	const catchUp = 5 * time.Second
-	if s.diskLost != nil && s.diskWholeAt.IsZero() && s.voterOnNewDisk(s.diskLost) {
-		s.diskWholeAt = time.Now().Add(catchUp)
+	if s.lastWiped != nil && s.diskRecoveredAt.IsZero() && s.voterOnNewDisk(s.lastWiped) {
+		s.diskRecoveredAt = time.Now().Add(catchUp)
 	}
-	whole := s.diskLost == nil || !s.diskWholeAt.IsZero() && time.Now().After(s.diskWholeAt)
-	if !s.free(m.name) || !whole {
+	recovered := s.lastWiped == nil || !s.diskRecoveredAt.IsZero() && time.Now().After(s.diskRecoveredAt)
+	if !s.isFree(m.name) || !recovered {
 		return "", nil, false
 	}
-	s.diskLost, s.diskWholeAt = m, time.Time{}
+	s.lastWiped, s.diskRecoveredAt = m, time.Time{}
 	s.kill(m)
-	require.NoError(s.t, os.RemoveAll(filepath.Join(m.data, "ledger")))
+	require.NoError(s.t, os.RemoveAll(filepath.Join(m.dataFolder, "ledger")))
 	return m.name, func() { s.start(m) }, true
 }
 
-// path harms the way to a process or back end.
-func (s *soak) path(name string, proxy *faultproxy.Proxy) (string, func(), bool) {
+// degradePath sets a fault condition on the path that the proxy forwards.
+func (s *soak) degradePath(name string, proxy *faultproxy.Proxy) (string, func(), bool) {
 	target := name + "'s path"
-	if proxy == nil || !s.free(target) {
+	if proxy == nil || !s.isFree(target) {
 		return "", nil, false
 	}
 	conditions := []faultproxy.Condition{
@@ -310,8 +313,8 @@
 	return target, func() { proxy.Set(faultproxy.Condition{}) }, true
 }
 
-func (s *soak) misbehaves(backEnd *platformtest.Engine) (string, func(), bool) {
-	if !s.free(backEnd.ID) {
+func (s *soak) misbehave(backEnd *platformtest.Engine) (string, func(), bool) {
+	if !s.isFree(backEnd.ID) {
 		return "", nil, false
 	}
 	behaviours := []platformtest.Behaviour{{Refuse: true}, {LoseAnswer: true}, {CutAfter: 2}, {Unsigned: true}}
@@ -320,8 +323,8 @@
 	return backEnd.ID, func() { backEnd.SetBehaviour(nil) }, true
 }
 
-func (s *soak) storeFails() (string, func(), bool) {
-	if !s.free(targetStore) {
+func (s *soak) failStore() (string, func(), bool) {
+	if !s.isFree(targetStore) {
 		return "", nil, false
 	}
 	isWrite := func(r *http.Request) bool { return r.Method != http.MethodGet }
@@ -337,15 +340,15 @@
 	return targetStore, func() { s.store.SetFault(nil) }, true
 }
 
-func (s *soak) storeForgets() (string, func(), bool) {
-	if !s.free(targetStore) {
+func (s *soak) dropStoreHistory() (string, func(), bool) {
+	if !s.isFree(targetStore) {
 		return "", nil, false
 	}
 	s.store.SetDeaf(true)
 	return targetStore, func() { s.store.Forget(); s.store.SetDeaf(false) }, true
 }
 
-// probePath returns the path of a route that the given version brings.
+// probePath returns the path of the probe route in the given configuration version.
 func (s *soak) probePath(version int) string {
 	if version == s.config.Version {
 		return "/charge/p"
@@ -353,21 +356,21 @@
 	return fmt.Sprintf("/probe-%d/", version)
 }
 
-func (s *soak) configurationChanges() (string, func(), bool) {
+func (s *soak) changeConfiguration() (string, func(), bool) {
 	s.version += 1 + s.random.IntN(3)
 	s.putConfiguration()
 	return fmt.Sprintf("version %d", s.version), func() {}, true
 }
 
-// configurationsInSeries changes the configuration several times in a row.
-func (s *soak) configurationsInSeries() (string, func(), bool) {
+// changeConfigurationRepeatedly publishes several configuration versions in a row.
+func (s *soak) changeConfigurationRepeatedly() (string, func(), bool) {
 	for range 2 + s.random.IntN(6) {
-		s.configurationChanges()
+		s.changeConfiguration()
 	}
 	return fmt.Sprintf("version %d", s.version), func() {}, true
 }
 
-// putConfiguration writes the present version, with a route that tells it from others.
+// putConfiguration publishes the current version, with a probe route that only this version has.
 func (s *soak) putConfiguration() {
 	next := s.config.Clone(s.version)
 	next.Routes = append(next.Routes, map[string]any{
@@ -377,10 +380,10 @@
 	s.store.Put("config", "main", next)
 }
 
-// leaves lets a back end drain and come back as a new one under another id.
-func (s *soak) leaves(backEnd *platformtest.Engine) (string, func(), bool) {
+// drainBackEnd marks a back end as draining and, when healed, as ready again.
+func (s *soak) drainBackEnd(backEnd *platformtest.Engine) (string, func(), bool) {
 	target := backEnd.ID + " leaving"
-	if !s.free(target) {
+	if !s.isFree(target) {
 		return "", nil, false
 	}
 	service := "llm"
@@ -389,16 +392,16 @@
 	}
 	entry := func(state string) map[string]any {
 		entry := backEnd.Entry(service, zones[0], state)
-		entry["address"] = s.backEndPaths[backEnd.ID].Address()
+		entry["address"] = s.backEndProxies[backEnd.ID].Address()
 		return entry
 	}
 	s.store.Put("servers", backEnd.ID, entry("draining"))
 	return target, func() { s.store.Put("servers", backEnd.ID, entry("ready")) }, true
 }
 
-// allKilled ends all processes at one moment, with torn writes on all disks.
-func (s *soak) allKilled() (string, func(), bool) {
-	s.healDue(time.Now().Add(time.Hour))
+// killAll kills all processes at once and leaves torn writes on all disks.
+func (s *soak) killAll() (string, func(), bool) {
+	s.healExpired(time.Now().Add(time.Hour))
 	for _, m := range s.members() {
 		require.NoError(s.t, m.command.Process.Kill())
 	}
@@ -406,7 +409,7 @@
 		<-m.exited
 	}
 	for _, replica := range s.replicas {
-		s.tear(replica)
+		s.writeTornTail(replica)
 	}
 	return targetAll, func() {
 		for _, m := range s.members() {
--- a/internal/e2e/soak_load_test.go
+++ b/internal/e2e/soak_load_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// What the soak's fleet bears besides faults: programs of a less urgent rank that unfold into
-// several turns at once, a tenant far beyond its limit, callers that read slowly, and engines of
-// three speeds, one of which is slowed for moments. Its random numbers are its own, so that
-// a seed brings the faults that it always brought.
+// This file adds load to the soak besides its faults: lower-priority programs that run several turns
+// concurrently, a tenant far above its rate limit, callers that read slowly, and engines of three
+// speeds, one of which is slowed temporarily. The load has random number generators of its own, so
+// that it does not change the faults that a seed selects.
 
 const (
-	unfoldingCallers, hotCallers, slowCallers = 2, 1, 2
-	// subAgents is how many turns a program of an unfolding caller has at once.
+	fanOutCallers, burstCallers, slowCallers = 2, 1, 2
+	// subAgents is the number of concurrent turns of a fan-out program.
 	subAgents = 3
-	// hotCalls come without a pause, then hotPause.
-	hotCalls, hotPause = 30, 500 * time.Millisecond
-	// slowReadBytes are read each slowReadPause.
+	// A burst caller makes burstCalls calls without a pause, then waits for burstPause.
+	burstCalls, burstPause = 30, 500 * time.Millisecond
+	// A slowBody reads at most slowReadBytes per slowReadPause.
 	slowReadBytes, slowReadPause = 16, 10 * time.Millisecond
-	// slowedGap is the pause between the events of an engine that is slowed.
+	// slowedGap is the pause between the events of a slowed engine.
 	slowedGap = 150 * time.Millisecond
-	// batchPath is that of the less urgent programs.
+	// batchPath is the path of the lower-priority programs.
 	batchPath = "/batch/s"
 )
 
-// engineGaps are the pauses between events at engines of three speeds.
+// engineGaps are the pauses between the events of the engines, which have three speeds.
 var engineGaps = []time.Duration{0, 4 * time.Millisecond, 10 * time.Millisecond}
 
-// addLoad gives engines their speeds and the configuration the less urgent route.
-func (s *soak) addLoad() {
+// configureLoad sets the speeds of the engines and adds the lower-priority route to the configuration.
+func (s *soak) configureLoad() {
 	for i, engine := range s.engines {
 		engine.SetGap(engineGaps[i%len(engineGaps)])
 	}
@@ -43,8 +43,8 @@
 	})
 }
 
-// bringLoad runs the load until the context ends.
-func (s *soak) bringLoad(ctx context.Context, running *sync.WaitGroup) {
+// startLoadGenerators starts the load generators, which run until the context ends.
+func (s *soak) startLoadGenerators(ctx context.Context, running *sync.WaitGroup) {
 	number := uint64(soakCallers)
 	add := func(count, tenant int, run func(c *soakCaller)) {
 		for range count {
@@ -57,45 +57,45 @@
 			})
 		}
 	}
-	add(unfoldingCallers, 0, (*soakCaller).unfold)
-	add(hotCallers, len(soakTenants)-1, (*soakCaller).callHotly)
-	add(slowCallers, 0, func(c *soakCaller) { c.slowly = true; c.turn("p-"+c.nextID(), turnMost, keptTurn{}) })
+	add(fanOutCallers, 0, (*soakCaller).runFanOut)
+	add(burstCallers, len(soakTenants)-1, (*soakCaller).callInBursts)
+	add(slowCallers, 0, func(c *soakCaller) { c.readsSlowly = true; c.turn("p-"+c.nextID(), maxTurnTokens, completedTurn{}) })
 	random := rand.New(rand.NewPCG(s.seed, number+1))
 	running.Go(func() {
 		for ctx.Err() == nil {
-			s.slowOne(ctx, random)
+			s.slowEngine(ctx, random)
 		}
 	})
 }
 
-// unfold runs one program of several rounds of turns at once.
-func (c *soakCaller) unfold() {
+// runFanOut runs one program of several rounds, each of which has subAgents concurrent turns.
+func (c *soakCaller) runFanOut() {
 	program := "p-" + c.nextID()
-	budget := turnMost * subAgents * (1 + c.random.IntN(turnsMost))
-	for range 1 + c.random.IntN(turnsMost) {
+	budget := maxTurnTokens * subAgents * (1 + c.random.IntN(maxTurns))
+	for range 1 + c.random.IntN(maxTurns) {
 		var round sync.WaitGroup
 		for range subAgents {
 			agent := &soakCaller{soak: c.soak, random: rand.New(rand.NewPCG(c.random.Uint64(), 0)), tenant: c.tenant}
 			round.Go(func() {
-				asked := record{kind: resumableTurn, program: program, budget: budget, most: turnMost}
-				agent.ask(asked, agentHost, batchPath, turnHeader(program, budget))
+				request := record{kind: resumableTurn, program: program, budget: budget, maxTokens: maxTurnTokens}
+				agent.send(request, agentHost, batchPath, turnHeader(program, budget))
 			})
 		}
 		round.Wait()
 	}
 }
 
-// callHotly calls tools without a pause for a moment.
-func (c *soakCaller) callHotly() {
+// callInBursts makes one burst of tool calls, followed by a pause.
+func (c *soakCaller) callInBursts() {
 	program := "p-" + c.nextID()
-	for range hotCalls {
+	for range burstCalls {
 		c.call(program, safeCall)
 	}
-	<-time.After(hotPause)
+	<-time.After(burstPause)
 }
 
-// slowOne slows an engine for a moment.
-func (s *soak) slowOne(ctx context.Context, random *rand.Rand) {
+// slowEngine slows a random engine for 0.5 to 2.5 seconds.
+func (s *soak) slowEngine(ctx context.Context, random *rand.Rand) {
 	chosen := random.IntN(len(s.engines))
 	s.engines[chosen].SetGap(slowedGap)
 	s.note("engine slowed: %s", s.engines[chosen].ID)
@@ -106,7 +106,7 @@
 	s.engines[chosen].SetGap(engineGaps[chosen%len(engineGaps)])
 }
 
-// slowBody is an answer that is read slowly.
+// slowBody is a response body that limits the read rate.
 type slowBody struct{ io.Reader }
 
 func (b slowBody) Read(buffer []byte) (int, error) {
@@ -114,10 +114,10 @@
 	return b.Reader.Read(buffer[:min(len(buffer), slowReadBytes)])
 }
 
-// turnHeader returns the header of a program's turn.
+// turnHeader returns the headers of a turn of a program.
 func turnHeader(program string, budget int) http.Header {
 	return http.Header{
 		"X-Program-Id": {program}, "X-Session-Id": {"s-" + program}, "X-Program-Deadline-Ms": {"8000"},
-		"X-Token-Budget": {strconv.Itoa(budget)}, "X-Token-Count": {"100," + strconv.Itoa(turnMost)},
+		"X-Token-Budget": {strconv.Itoa(budget)}, "X-Token-Count": {"100," + strconv.Itoa(maxTurnTokens)},
 	}
 }
--- a/internal/e2e/soak_test.go
+++ b/internal/e2e/soak_test.go
@@ -17,24 +17,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The soak runs gateways and replicas as processes behind proxies, lets callers run
-// programs on them, and brings faults on them at random times: see soak_faults_test.go.
-// What callers and back ends see is checked against the promises of the pages
-// (soak_checks_test.go). A seed fixes which faults come and what callers ask for; the
-// processes' own timing is the machine's.
+// The soak test runs gateways and replicas as processes behind proxies, runs programs on
+// them, and injects faults at random times (soak_faults_test.go). What callers and back
+// ends observe is checked against the documented guarantees (soak_checks_test.go). A seed
+// determines the faults and the requests, but not the timing of the processes.
 //
 //	go test ./internal/e2e -run TestSoak -soak.for 5m -soak.seed 0 -soak.logs FOLDER
 var (
-	soakFor  = flag.Duration("soak.for", 4*time.Second, "how long faults are brought on the fleet, for each seed")
-	soakSeed = flag.String("soak.seed", "", "seeds separated by commas; 0 draws one; none plays those that failed before")
-	soakLogs = flag.String("soak.logs", "", "folder for the logs of a run that failed")
+	soakFor  = flag.Duration("soak.for", 4*time.Second, "duration of fault injection, for each seed")
+	soakSeed = flag.String("soak.seed", "", "comma-separated seeds; 0 selects a random seed; empty runs the regression seeds")
+	soakLogs = flag.String("soak.logs", "", "folder for the logs of failed runs")
 )
 
-// failedSeeds failed at some time; docs/FINDINGS.md says why.
+// failedSeeds are regression seeds that found faults; docs/FINDINGS.md explains them.
 var failedSeeds = []uint64{1, 225567408905, 856050443292, 84688788687, 57083014912}
 
-// overlappingSeeds bring signals, restarts and changes in series and over each other. All but the
-// first failed at some time.
+// overlappingSeeds inject overlapping and repeated signals, restarts and configuration changes. All
+// but the first are regression seeds that found faults.
 var overlappingSeeds = []uint64{20, 120334, 120338, 120344, 120403, 120407, 120426, 120427}
 
 func TestSoak(t *testing.T) {
@@ -57,53 +56,54 @@
 
 const (
 	soakCallers = 8
-	// faultPause bounds the pause between the beginnings of two faults.
-	faultPauseLeast, faultPauseMost = 100 * time.Millisecond, 700 * time.Millisecond
-	// faultsAtOnce bounds the faults in force together.
-	faultsAtOnce = 5
-	// healLimit is how long the fleet may take to serve everything once all faults ended.
-	healLimit = 30 * time.Second
+	// minFaultPause and maxFaultPause bound the pause between the starts of two faults.
+	minFaultPause, maxFaultPause = 100 * time.Millisecond, 700 * time.Millisecond
+	// maxActiveFaults bounds the number of concurrent faults.
+	maxActiveFaults = 5
+	// recoveryLimit bounds the time until the fleet serves all requests after all faults have ended.
+	recoveryLimit = 30 * time.Second
 )
 
-// soak is one run.
+// soak is the state of one soak run.
 type soak struct {
 	*fleet
-	seed   uint64
-	began  time.Time
-	random *rand.Rand
-
-	mu      sync.Mutex
-	records []record
-	kept    []keptTurn
-	story   []string
-	number  uint64
-
-	// the fields below belong to the goroutine that brings the faults
-	active  []activeFault
-	touched map[string]bool
-	// diskWholeAt is when the disk lost last counts as whole again.
-	diskWholeAt time.Time
-	diskLost    *member
-	version     int
+	seed      uint64
+	startedAt time.Time
+	random    *rand.Rand
+
+	mu        sync.Mutex
+	records   []record
+	completed []completedTurn
+	story     []string
+	lastID    uint64
+
+	// The fields below are used only by the goroutine that injects faults.
+	active      []activeFault
+	busyTargets map[string]bool
+	// diskRecoveredAt is when the replica in lastWiped counts as caught up; zero until it votes.
+	diskRecoveredAt time.Time
+	lastWiped       *member
+	version         int
 }
 
-// keptTurn is a turn that a caller got whole, with the text that later prompts hold.
-type keptTurn struct {
+// completedTurn is a turn that a caller received completely, with the history that later prompts
+// contain.
+type completedTurn struct {
 	id, history string
-	// tenant is the place of its tenant in soakTenants.
+	// tenant is the index of the tenant in soakTenants.
 	tenant int
 }
 
 func runSoak(t *testing.T, seed uint64) {
-	fleet := startFleetOf(t, fleetLayout{gateways: 3, replicas: 4, engines: 4, apps: 3, proxied: true, quotaSlack: soakSlack, gatewaySettings: "guarantees: [pressure]\n"})
-	s := &soak{fleet: fleet, seed: seed, began: time.Now(), random: rand.New(rand.NewPCG(seed, 0)), touched: map[string]bool{}, version: fleet.config.Version}
+	fleet := startFleetWith(t, fleetLayout{gateways: 3, replicas: 4, engines: 4, apps: 3, proxied: true, quotaSlack: soakSlack, gatewaySettings: "guarantees: [pressure]\n"})
+	s := &soak{fleet: fleet, seed: seed, startedAt: time.Now(), random: rand.New(rand.NewPCG(seed, 0)), busyTargets: map[string]bool{}, version: fleet.config.Version}
 	t.Cleanup(s.keepLogs)
 	t.Cleanup(s.printStory)
 	s.config.Tenants = soakTenants
-	s.addLoad()
+	s.configureLoad()
 	s.version++
 	s.putConfiguration()
-	s.checkConfiguration(t) // before that, requests are nobody's
+	s.checkConfiguration(t) // until then, requests have no tenant
 	ctx, stop := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for number := range uint64(soakCallers) {
@@ -116,42 +116,42 @@
 			}
 		}()
 	}
-	s.bringLoad(ctx, &callers)
-	s.bringFaults(*soakFor)
+	s.startLoadGenerators(ctx, &callers)
+	s.injectFaults(*soakFor)
 	s.healAll()
 	stop()
 	callers.Wait()
 	s.checkAll(t, s.runsByID())
 	s.checkLimits(t, s.runsByID())
-	s.checkKeptTurns(t)
+	s.checkCompletedTurns(t)
 	s.checkConfiguration(t)
-	s.checkReports(t)
-	t.Logf("%d requests, %d turns kept", len(s.records), len(s.kept))
+	s.checkReportsReadable(t)
+	t.Logf("%d requests, %d completed turns", len(s.records), len(s.completed))
 }
 
-// printStory prints the faults, also of a run that was given up.
+// printStory logs the faults, including those of an aborted run.
 func (s *soak) printStory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.t.Logf("seed %d, faults:\n%s", s.seed, strings.Join(s.story, "\n"))
 }
 
-// note adds a line to the story that is printed beside a failure.
+// note adds a line to the story of the run, which is logged at its end.
 func (s *soak) note(format string, values ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.story = append(s.story, fmt.Sprintf("%7.3f ", time.Since(s.began).Seconds())+fmt.Sprintf(format, values...))
+	s.story = append(s.story, fmt.Sprintf("%7.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, values...))
 }
 
-// nextID returns a request id of this run.
+// nextID returns a request id that is unique within this run.
 func (s *soak) nextID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.number++
-	return fmt.Sprintf("%08x%08x", uint32(s.seed), s.number)
+	s.lastID++
+	return fmt.Sprintf("%08x%08x", uint32(s.seed), s.lastID)
 }
 
-// keepLogs writes the logs of a run that failed into a folder.
+// keepLogs writes the logs of a failed run to the folder of -soak.logs.
 func (s *soak) keepLogs() {
 	if !s.t.Failed() || *soakLogs == "" {
 		return
--- a/internal/e2e/tenancy_test.go
+++ b/internal/e2e/tenancy_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	keyOfRiga   = "rigarigarigarigariga"
-	keyOfLuzon  = "luzonluzonluzonluzon"
-	keyOfNobody = "nobodynobodynobodyno"
+	keyOfRiga  = "rigarigarigarigariga"
+	keyOfLuzon = "luzonluzonluzonluzon"
+	unknownKey = "nobodynobodynobodyno"
 )
 
-func as(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
+func bearer(key string) http.Header { return http.Header{"Authorization": {"Bearer " + key}} }
 
-// turnAs sends a turn that shows a key.
-func (f *fleet) turnAs(gateway *member, key string, turn turnRequest) answered {
+// turnWithKey sends a turn with an API key.
+func (f *fleet) turnWithKey(gateway *member, key string, turn turnRequest) exchangeResult {
 	header := http.Header{
 		"X-Program-Id": {turn.program}, "X-Program-Deadline-Ms": {"8000"},
-		"X-Token-Budget": {"5000"}, "X-Token-Count": {fmt.Sprintf("100,%d", max(turn.most, 50))}, "Authorization": {"Bearer " + key},
+		"X-Token-Budget": {"5000"}, "X-Token-Count": {fmt.Sprintf("100,%d", max(turn.maxTokens, 50))}, "Authorization": {"Bearer " + key},
 	}
 	if turn.previous != "" {
 		header.Set("X-Previous-Turn", turn.previous)
@@ -34,8 +34,8 @@
 	return f.post(gateway, agentHost, turn.path, header, turn.body)
 }
 
-// putTenants puts a version with tenants in force and waits until every gateway knows it:
-// a route that each version adds is served then.
+// putTenants publishes a configuration version with the tenants and waits until every gateway
+// serves a probe route that only this version has.
 func (f *fleet) putTenants(t *testing.T, version int, tenants ...map[string]any) {
 	config := f.config.Clone(version)
 	config.Tenants = tenants
@@ -54,7 +54,7 @@
 
 // metricsOf returns the metrics page of a process.
 func (f *fleet) metricsOf(m *member) string {
-	response, err := http.Get("http://" + m.metrics + "/metrics")
+	response, err := http.Get("http://" + m.metricsAddress + "/metrics")
 	require.NoError(f.t, err)
 	defer response.Body.Close()
 	page, err := io.ReadAll(response.Body)
@@ -67,43 +67,43 @@
 	riga := map[string]any{"name": "riga", "api_keys": []string{keyOfRiga}}
 	luzon := map[string]any{"name": "luzon", "api_keys": []string{keyOfLuzon}}
 	f.putTenants(t, 2, riga, luzon)
-	t.Run("the key says the tenant and goes no further", f.testKeyAndTenant)
-	t.Run("a turn belongs to its tenant", f.testForeignTurn)
-	t.Run("a key moves and is taken away", func(t *testing.T) {
+	t.Run("key selects the tenant and is not forwarded", f.testKeyAndTenant)
+	t.Run("turn is not visible to other tenants", f.testForeignTurn)
+	t.Run("key is moved to another tenant and then removed", func(t *testing.T) {
 		f.putTenants(t, 3, map[string]any{"name": "riga", "api_keys": []string{}}, map[string]any{"name": "luzon", "api_keys": []string{keyOfLuzon, keyOfRiga}})
-		moved := f.post(f.gateways[1], appsHost, "/charge/a", as(keyOfRiga), "x")
+		moved := f.post(f.gateways[1], appsHost, "/charge/a", bearer(keyOfRiga), "x")
 		require.Equal(t, "luzon", runsOf(moved.id, f.apps)[0].Header.Get("X-Tenant"))
 		f.putTenants(t, 4, luzon)
 		for _, gateway := range f.gateways {
-			refused := f.post(gateway, appsHost, "/charge/a", as(keyOfRiga), "x")
+			refused := f.post(gateway, appsHost, "/charge/a", bearer(keyOfRiga), "x")
 			require.Equal(t, http.StatusUnauthorized, refused.status)
 			require.Empty(t, runsOf(refused.id, f.apps))
 		}
 	})
-	t.Run("a tenant's limit holds over all gateways", f.testLimit)
-	t.Run("no output holds a key", f.testNoKeyInOutput)
+	t.Run("tenant limit is enforced across gateways", f.testLimit)
+	t.Run("logs, metrics and files contain no key", f.testNoKeyInOutput)
 }
 
-// testLimit sends far more than a tenant's limit, and counts what ran over the time that this
-// took.
+// testLimit sends far more requests than a tenant's limit allows, and compares the number that ran
+// with the limit over the time that passed.
 func (f *fleet) testLimit(t *testing.T) {
 	const rate, burst, overage, requests = 10, 6, 0.1, 150
 	f.putTenants(t, 5,
 		map[string]any{"name": "riga", "api_keys": []string{keyOfRiga}, "rate_per_s": rate, "burst": burst},
 		map[string]any{"name": "luzon", "api_keys": []string{keyOfLuzon}, "rate_per_s": 1000, "burst": 1000})
 	require.Eventually(t, func() bool {
-		return f.post(f.gateways[0], appsHost, "/charge/a", as(keyOfRiga), "x").status == http.StatusOK
+		return f.post(f.gateways[0], appsHost, "/charge/a", bearer(keyOfRiga), "x").status == http.StatusOK
 	}, 20*time.Second, 50*time.Millisecond)
 	for range requests {
-		spent := f.turnAs(f.gateways[0], keyOfRiga, turnRequest{path: "/chat/t", program: f.newID(), body: "x", most: 6000})
-		require.Equal(t, http.StatusPaymentRequired, spent.status, "what is refused for another reason uses nothing of the limit")
+		spent := f.turnWithKey(f.gateways[0], keyOfRiga, turnRequest{path: "/chat/t", program: f.newID(), body: "x", maxTokens: 6000})
+		require.Equal(t, http.StatusPaymentRequired, spent.status, "a request refused for another reason must not count toward the limit")
 	}
 	began := time.Now()
-	answers := make(chan answered, requests)
+	answers := make(chan exchangeResult, requests)
 	for number := range requests {
 		id := f.newID()
 		go func() {
-			answers <- exchange(f.gateways[number%len(f.gateways)], id, appsHost, "/charge/a", as(keyOfRiga), "x")
+			answers <- exchange(f.gateways[number%len(f.gateways)], id, appsHost, "/charge/a", bearer(keyOfRiga), "x")
 		}()
 	}
 	ran := 0
@@ -117,78 +117,78 @@
 		}
 		require.Contains(t, []int{http.StatusTooManyRequests, http.StatusServiceUnavailable}, got.status)
 		require.NotEmpty(t, got.header.Get("Retry-After"))
-		require.Empty(t, runs, "a refused request has not run")
+		require.Empty(t, runs, "a refused request must not run")
 	}
 	allowed := (rate*(time.Since(began).Seconds()+5) + burst) * (1 + overage)
 	require.LessOrEqual(t, float64(ran), allowed)
 	require.Positive(t, ran)
 	for _, gateway := range f.gateways {
-		other := f.post(gateway, appsHost, "/charge/a", as(keyOfLuzon), "x")
-		require.Equal(t, http.StatusOK, other.status, "another tenant's requests go on")
+		other := f.post(gateway, appsHost, "/charge/a", bearer(keyOfLuzon), "x")
+		require.Equal(t, http.StatusOK, other.status, "another tenant must still be served")
 		require.Eventually(t, func() bool {
-			return f.post(gateway, appsHost, "/charge/a", as(keyOfRiga), "x").status == http.StatusOK
-		}, 20*time.Second, 50*time.Millisecond, "there is credit again")
+			return f.post(gateway, appsHost, "/charge/a", bearer(keyOfRiga), "x").status == http.StatusOK
+		}, 20*time.Second, 50*time.Millisecond, "the limit must refill")
 	}
 }
 
 func (f *fleet) testKeyAndTenant(t *testing.T) {
 	for _, gateway := range f.gateways {
-		header := as(keyOfRiga)
+		header := bearer(keyOfRiga)
 		for _, name := range []string{"X-Tenant", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch"} {
 			header.Set(name, "luzon")
 		}
 		got := f.post(gateway, appsHost, "/charge/a", header, "x")
 		require.Equal(t, http.StatusOK, got.status, got.body)
-		seen := runsOf(got.id, f.apps)[0].Header
-		require.Equal(t, []string{"riga"}, seen.Values("X-Tenant"))
+		forwarded := runsOf(got.id, f.apps)[0].Header
+		require.Equal(t, []string{"riga"}, forwarded.Values("X-Tenant"))
 		for _, name := range []string{"Authorization", "X-Hold", "X-Pin-Ms", "X-Kv-Backup", "Kv-From", "Kv-Fetch"} {
-			require.Empty(t, seen.Values(name), name)
+			require.Empty(t, forwarded.Values(name), name)
 		}
-		require.Equal(t, http.StatusUnauthorized, f.post(gateway, appsHost, "/charge/a", as(keyOfNobody), "x").status)
+		require.Equal(t, http.StatusUnauthorized, f.post(gateway, appsHost, "/charge/a", bearer(unknownKey), "x").status)
 		require.Equal(t, http.StatusUnauthorized, f.post(gateway, appsHost, "/charge/a", nil, "x").status)
 	}
 }
 
 func (f *fleet) testForeignTurn(t *testing.T) {
-	for _, other := range []string{f.newID(), f.newID(), f.newID()} { // programs of several cells
+	for _, other := range []string{f.newID(), f.newID(), f.newID()} { // so that the programs are in several cells
 		program := f.newID()
-		first := f.turnAs(f.gateways[0], keyOfRiga, turnRequest{path: "/chat/t", program: program, body: "one|"})
+		first := f.turnWithKey(f.gateways[0], keyOfRiga, turnRequest{path: "/chat/t", program: program, body: "one|"})
 		require.Equal(t, http.StatusOK, first.status, first.body)
-		for _, asking := range []string{program, other} {
-			foreign := f.turnAs(f.gateways[1], keyOfLuzon, turnRequest{path: "/chat/t", program: asking, previous: first.id, body: "two|"})
+		for _, requested := range []string{program, other} {
+			foreign := f.turnWithKey(f.gateways[1], keyOfLuzon, turnRequest{path: "/chat/t", program: requested, previous: first.id, body: "two|"})
 			require.Equal(t, http.StatusNotFound, foreign.status, foreign.body)
 			require.Empty(t, runsOf(foreign.id, f.engines))
 		}
-		own := f.turnAs(f.gateways[1], keyOfRiga, turnRequest{path: "/chat/t", program: program, previous: first.id, body: "two|"})
+		own := f.turnWithKey(f.gateways[1], keyOfRiga, turnRequest{path: "/chat/t", program: program, previous: first.id, body: "two|"})
 		require.Equal(t, http.StatusOK, own.status, own.body)
 	}
 }
 
-// testNoKeyInOutput looks for keys in logs, metrics, and all files of the replicas.
+// testNoKeyInOutput searches logs, metrics and all files of the replicas for API keys.
 func (f *fleet) testNoKeyInOutput(t *testing.T) {
-	hunt := func(where, text string) {
-		for _, key := range []string{keyOfRiga, keyOfLuzon, keyOfNobody} {
+	requireNoKey := func(where, text string) {
+		for _, key := range []string{keyOfRiga, keyOfLuzon, unknownKey} {
 			require.NotContains(t, text, key, where)
 		}
 	}
 	for _, m := range f.members() {
-		hunt("log of "+m.name, m.log.String())
-		hunt("metrics of "+m.name, f.metricsOf(m))
-		if m.data == "" {
+		requireNoKey("log of "+m.name, m.log.String())
+		requireNoKey("metrics of "+m.name, f.metricsOf(m))
+		if m.dataFolder == "" {
 			continue
 		}
-		require.Eventually(t, func() bool { _, err := os.Stat(filepath.Join(m.data, "store-copy")); return err == nil }, 20*time.Second, 50*time.Millisecond)
-		require.NoError(t, filepath.WalkDir(m.data, func(path string, entry fs.DirEntry, err error) error {
+		require.Eventually(t, func() bool { _, err := os.Stat(filepath.Join(m.dataFolder, "store-copy")); return err == nil }, 20*time.Second, 50*time.Millisecond)
+		require.NoError(t, filepath.WalkDir(m.dataFolder, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() {
 				return err
 			}
 			content, err := os.ReadFile(path)
-			hunt(path, string(content))
+			requireNoKey(path, string(content))
 			return err
 		}))
-		info, err := os.Stat(filepath.Join(m.data, "store-copy"))
+		info, err := os.Stat(filepath.Join(m.dataFolder, "store-copy"))
 		require.NoError(t, err)
-		require.Zero(t, info.Mode().Perm()&0o077, "others may not read the copy")
+		require.Zero(t, info.Mode().Perm()&0o077, "the copy must be readable only by its owner")
 	}
 	require.True(t, strings.Contains(f.gateways[0].log.String(), `"key_fingerprint"`))
 }
--- a/internal/e2e/versions_test.go
+++ b/internal/e2e/versions_test.go
@@ -9,40 +9,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A fleet is upgraded one process after the other, so builds must understand each other's messages
-// and read each other's disks. These flags let any test of a fleet run with a second build:
+// In a rolling upgrade, builds must understand each other's messages and read each other's disks.
+// These flags run any fleet test with a second build for some of the processes:
 //
 //	go test ./internal/e2e -run 'TestFleet|TestSoak' -other.program /path/of/older/swiftbank -other.runs alternating
 var (
-	otherProgram = flag.String("other.program", "", "the program of another build")
-	otherRuns    = flag.String("other.runs", "alternating", "which processes run it: gateways, replicas, half, or at each start the one that did not run before (alternating)")
+	otherBinary = flag.String("other.program", "", "path of the swiftbank binary of another build")
+	otherRuns   = flag.String("other.runs", "alternating", "processes that run the other build: gateways, replicas, half, or alternating (each process switches builds at each start)")
 )
 
-// programOf returns the program that a process runs in its next life.
-func (f *fleet) programOf(m *member) string {
-	if *otherProgram == "" || !m.runsOther() {
+// binaryFor returns the path of the binary for the next start of a process.
+func (f *fleet) binaryFor(m *member) string {
+	if *otherBinary == "" || !m.runsOtherBuild() {
 		return filepath.Join(f.folder, "swiftbank")
 	}
-	return *otherProgram
+	return *otherBinary
 }
 
-// runsOther reports whether the process runs the other build in its next life.
-func (m *member) runsOther() bool {
+// runsOtherBuild reports whether the next start of the process uses the other build.
+func (m *member) runsOtherBuild() bool {
 	odd := strings.HasSuffix(m.name, "1") || strings.HasSuffix(m.name, "3")
 	switch *otherRuns {
 	case "gateways":
-		return m.verb == "gateway"
+		return m.subcommand == "gateway"
 	case "replicas":
-		return m.verb == "replica"
+		return m.subcommand == "replica"
 	case "half":
 		return odd
 	default:
-		return odd == (m.lives%2 == 0)
+		return odd == (m.starts%2 == 0)
 	}
 }
 
-// checkReports checks that no process got a report that it could not read.
-func (f *fleet) checkReports(t *testing.T) {
+// checkReportsReadable checks that no process logged a report that it could not decode.
+func (f *fleet) checkReportsReadable(t *testing.T) {
 	for _, m := range f.members() {
 		require.NotContains(t, m.log.String(), `report_unreadable"`, m.name)
 	}
--- a/internal/e2e/zones_test.go
+++ b/internal/e2e/zones_test.go
@@ -15,28 +15,28 @@
 	"swiftbank.dev/swiftbank/platform/platformtest"
 )
 
-// placesSettings put the first zone into one region and the others into another one.
-var placesSettings = fmt.Sprintf("evacuationLimit: 5s\nzones:\n  %s: north\n  %s: south\n  %s: south\n", zones[0], zones[1], zones[2])
+// zoneSettings puts the first zone into one region and the other zones into another.
+var zoneSettings = fmt.Sprintf("evacuationLimit: 5s\nzones:\n  %s: north\n  %s: south\n  %s: south\n", zones[0], zones[1], zones[2])
 
-// TestPlaces evacuates zones and limits a route to a region, on processes whose two engines
-// and two applications stand in two zones of two regions.
-func TestPlaces(t *testing.T) {
-	f := startFleetOf(t, fleetLayout{gateways: 2, replicas: 3, engines: 2, apps: 2, settings: placesSettings})
+// TestZones evacuates zones and restricts a route to a region. The two engines and the two
+// applications of the fleet are in two zones of two regions.
+func TestZones(t *testing.T) {
+	f := startFleetWith(t, fleetLayout{gateways: 2, replicas: 3, engines: 2, apps: 2, settings: zoneSettings})
 	f.seedGateways()
 	f.evacuate(t, zones[0])
 	f.requireServedBy(t, 1)
-	t.Run("an evacuation outlives a restart of all while the store is away", f.testEvacuationFromCopy)
-	t.Run("a zone is used again once its evacuation ends", f.testEvacuationEnds)
-	t.Run("nothing is sent while every zone is evacuated", f.testAllEvacuated)
-	t.Run("a route stays at its homes", f.testHomes)
+	t.Run("evacuation survives a restart of all processes while the store is down", f.testEvacuationFromCopy)
+	t.Run("zone is used again after its evacuation ends", f.testEvacuationEnds)
+	t.Run("requests are refused while every zone is evacuated", f.testAllEvacuated)
+	t.Run("route is served only in its allowed regions", f.testAllowedRegions)
 }
 
-// evacuate asks for the zones and waits until every gateway knows.
-func (f *fleet) evacuate(t *testing.T, asked ...string) {
+// evacuate makes the given zones the evacuated ones and waits until every gateway has logged it.
+func (f *fleet) evacuate(t *testing.T, evacuated ...string) {
 	for _, zone := range zones[:2] {
 		f.store.Delete("evacuations", zone)
 	}
-	for _, zone := range asked {
+	for _, zone := range evacuated {
 		f.store.Put("evacuations", zone, map[string]any{})
 	}
 	for _, gateway := range f.gateways {
@@ -45,18 +45,18 @@
 			last := log[max(0, strings.LastIndex(log, `"event":"evacuations_changed"`)):]
 			_, named, _ := strings.Cut(last, `"zones":`)
 			named, _, _ = strings.Cut(named, "]")
-			return strings.Count(named, `"`) == 2*len(asked) && (len(asked) != 1 || strings.Contains(named, asked[0]))
+			return strings.Count(named, `"`) == 2*len(evacuated) && (len(evacuated) != 1 || strings.Contains(named, evacuated[0]))
 		}, 20*time.Second, 20*time.Millisecond)
 	}
 }
 
-// requireServedBy sends turns and calls to every gateway, and requires that the engine and
-// the application of the given number ran them all.
+// requireServedBy sends turns and calls to every gateway, and requires that the engine and the
+// application with the given index ran all of them.
 func (f *fleet) requireServedBy(t *testing.T, number int) {
-	const each = 4
+	const requests = 4
 	for _, gateway := range f.gateways {
-		for range each {
-			turn := f.turn(gateway, turnRequest{path: "/chat/t", program: f.newID(), budget: 500, most: 50, body: "x"})
+		for range requests {
+			turn := f.turn(gateway, turnRequest{path: "/chat/t", program: f.newID(), budget: 500, maxTokens: 50, body: "x"})
 			require.Equal(t, http.StatusOK, turn.status, turn.body)
 			require.Len(t, runsOf(turn.id, f.engines[number:number+1]), 1)
 			call := f.post(gateway, appsHost, "/charge/a", nil, "x")
@@ -87,10 +87,10 @@
 	f.store.SetFault(nil)
 }
 
-// evacuationCopied reports whether a replica's disk holds an evacuation.
+// evacuationCopied reports whether the copy on a replica's disk contains an evacuation.
 func evacuationCopied(replica *member) bool {
 	quiet := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	for _, batch := range feed.NewCopyFile(replica.data, quiet).Load() {
+	for _, batch := range feed.NewCopyFile(replica.dataFolder, quiet).Load() {
 		if batch.Kind == feed.Evacuations && len(batch.Records) > 0 {
 			return true
 		}
@@ -106,8 +106,8 @@
 func (f *fleet) testAllEvacuated(t *testing.T) {
 	f.evacuate(t, zones[0], zones[1])
 	for _, gateway := range f.gateways {
-		for _, got := range []answered{
-			f.turn(gateway, turnRequest{path: "/chat/t", program: f.newID(), budget: 500, most: 50, body: "x"}),
+		for _, got := range []exchangeResult{
+			f.turn(gateway, turnRequest{path: "/chat/t", program: f.newID(), budget: 500, maxTokens: 50, body: "x"}),
 			f.post(gateway, appsHost, "/charge/a", nil, "x"),
 		} {
 			require.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -119,9 +119,9 @@
 	f.evacuate(t)
 }
 
-// A route with a home is served there, also while that leaves half of the instances idle, and
-// is refused once its home is evacuated.
-func (f *fleet) testHomes(t *testing.T) {
+// testAllowedRegions restricts all routes to one region. They must be served there, even though half
+// of the instances are then idle, and be refused while that region is evacuated.
+func (f *fleet) testAllowedRegions(t *testing.T) {
 	f.config = f.config.Clone(7)
 	for _, route := range f.config.Routes {
 		route["allowed_regions"] = []string{"south"}
